--- a/crates/budgets/src/demand.rs
+++ b/crates/budgets/src/demand.rs
@@ -1,12 +1,13 @@
-//! Estimate of a node's demand from its usage.
+//! Estimates a node's demand from its usage.
 
-/// Where the limit was reached, the peak divided by this is added to the demand. Rejected requests are not counted,
-/// since waiting clients repeat them: growing by half at a time finds the demand.
+/// If the limit was reached, 1/`GROWTH_DIVISOR` of the peak is added to the demand. Rejected requests are not
+/// counted, since waiting clients repeat them. Growth by half at a time converges to the actual demand.
 const GROWTH_DIVISOR: u32 = 2;
-/// A demand falls at most by itself divided by this between two requests: a pause of one renewal is not the end of it.
+/// Between two requests, the demand decreases by at most 1/`DECAY_DIVISOR` of its value, since a pause of one renewal
+/// interval does not mean that the demand has ended.
 const DECAY_DIVISOR: u32 = 4;
 
-/// The use of a budget since the last lease request.
+/// The usage of a budget since the last lease request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetUsage {
     /// The most units used within any accounting window.
@@ -16,7 +17,7 @@
 }
 
 impl BudgetUsage {
-    /// The usage over both spans: the higher peak, limited if either was.
+    /// Combines the usage of two periods: the higher peak, limited if either period was.
     #[must_use]
     pub fn merge(self, other: BudgetUsage) -> BudgetUsage {
         BudgetUsage {
@@ -33,7 +34,7 @@
 }
 
 impl DemandEstimator {
-    /// Takes in the usage since the last request and returns the demand to send with the next one.
+    /// Updates the demand from the usage since the last request. Returns the demand to send with the next request.
     pub fn update(&mut self, usage: BudgetUsage) -> u32 {
         let growth = if usage.was_limited {
             (usage.peak / GROWTH_DIVISOR).max(1)
--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -1,31 +1,33 @@
-//! Division of a capacity into limits: max-min fair by demand, in whole units.
+//! Division of a capacity into limits by max-min fairness, in whole units.
 
-/// What one holder asks for and has.
+/// The demand and the current limit of one holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// The units that it needs, as [`DemandEstimator`](crate::demand::DemandEstimator) says.
+    /// The units that the holder needs, as estimated by [`DemandEstimator`](crate::demand::DemandEstimator).
     pub demand: u32,
-    /// The limit of its current lease.
+    /// The limit of the holder's current lease.
     pub current_limit: u32,
 }
 
-/// Of the capacity that nobody demands, this fraction (one in so many units) is reserved for new holders.
+/// 1/`RESERVE_DIVISOR` of the capacity that no holder demands is reserved for new holders.
 const RESERVE_DIVISOR: u32 = 10;
-/// A limit is not changed by less than itself divided by this, unless the demand calls for it.
+/// Changes of a limit by up to 1/`HYSTERESIS_DIVISOR` of its value are skipped, unless the demand exceeds the limit
+/// or is zero.
 const HYSTERESIS_DIVISOR: u32 = 8;
-/// A limit whose units are in use shrinks by this factor at a time.
+/// A limit whose units are in use shrinks by at most this factor at a time.
 const SHRINK_DIVISOR: u32 = 2;
 
-/// The next limits, in the order of the claims.
+/// Returns the next limits, in the order of the claims.
 ///
-/// Their sum exceeds the capacity only by what holders keep that have more than their share, since limits shrink in
-/// steps; the replicated state cuts grants to what is available. `rotation` shifts which holders get the units that
-/// can't be divided evenly.
+/// The sum may exceed the capacity, since limits above their share shrink in steps. In that case the replicated state
+/// reduces grants to the available capacity. `rotation` shifts which holders get the units that can't be divided
+/// evenly.
 pub fn divide(capacity: u32, claims: &[Claim], rotation: u64) -> Vec<u32> {
     let demands: Vec<u32> = claims.iter().map(|claim| claim.demand).collect();
     let demanded_shares = max_min_shares(capacity, &demands, rotation);
     let undemanded = capacity - saturating_sum(&demanded_shares);
-    // Nearly all that nobody demands is handed out as well: a node that becomes active has something at once.
+    // Most of the undemanded capacity is divided as well, so that a node whose demand rises has units available
+    // immediately.
     let spare = undemanded - undemanded / RESERVE_DIVISOR;
     let unbounded = vec![u32::MAX; claims.len()];
     let spare_shares = max_min_shares(spare, &unbounded, rotation);
@@ -37,7 +39,7 @@
         .collect()
 }
 
-/// A holder's next limit on the way to its target.
+/// A holder's next limit on its way to the target.
 fn next_limit(claim: Claim, target: u32) -> u32 {
     if target < claim.current_limit {
         shrunk_limit(claim, target)
@@ -46,7 +48,7 @@
     }
 }
 
-/// Units in use are given up in steps, unused ones at once.
+/// Units in use are released in steps, unused ones immediately.
 fn shrunk_limit(claim: Claim, target: u32) -> u32 {
     let current = claim.current_limit;
     let is_small_change = current - target <= current / HYSTERESIS_DIVISOR;
@@ -73,8 +75,8 @@
         .fold(0, |sum, share| sum.saturating_add(*share))
 }
 
-/// Raises all shares evenly until the capacity is used up or each demand is met. Single units that are left over go to
-/// the claims in turn, by `rotation`.
+/// Raises all shares evenly until the capacity is used up or each demand is met. Leftover units are distributed among
+/// the claims by `rotation`.
 fn max_min_shares(capacity: u32, demands: &[u32], rotation: u64) -> Vec<u32> {
     let mut by_demand: Vec<usize> = (0..demands.len()).collect();
     by_demand.sort_by_key(|index| demands[*index]);
@@ -83,7 +85,7 @@
     for (met_count, index) in by_demand.iter().enumerate() {
         let unmet_count = u32::try_from(by_demand.len() - met_count).unwrap_or(u32::MAX);
         if demands[*index] > remaining / unmet_count {
-            // None of the others can be met in full either.
+            // None of the remaining demands can be met in full either.
             let mut unmet = by_demand[met_count..].to_vec();
             unmet.sort_unstable();
             share_evenly(remaining, &unmet, rotation, &mut shares);
@@ -95,7 +97,7 @@
     shares
 }
 
-/// Divides the units evenly among these claims; those that are left over go to some of them, by `rotation`.
+/// Divides the units evenly among these claims. `rotation` determines which claims get one of the leftover units.
 fn share_evenly(units: u32, claim_indexes: &[usize], rotation: u64, shares: &mut [u32]) {
     let claim_count = u32::try_from(claim_indexes.len()).unwrap_or(u32::MAX);
     let each = units / claim_count;
--- a/crates/budgets/src/divide/tests.rs
+++ b/crates/budgets/src/divide/tests.rs
@@ -4,7 +4,7 @@
 
 #[rstest]
 #[case::all_are_met_and_a_tenth_of_the_rest_is_reserved(20, &[2, 4, 0], &[7, 8, 4])]
-#[case::the_largest_demand_gets_what_others_leave(16, &[1, 1, 30, 1], &[1, 1, 13, 1])]
+#[case::the_largest_demand_gets_the_remaining_units(16, &[1, 1, 30, 1], &[1, 1, 13, 1])]
 #[case::two_large_demands_share(16, &[2, 30, 40], &[2, 7, 7])]
 #[case::more_nodes_than_units(2, &[5, 5, 5], &[1, 1, 0])]
 #[case::nothing_to_divide(0, &[5], &[0])]
@@ -25,13 +25,13 @@
 }
 
 #[rstest]
-#[case::a_limit_in_use_falls_by_half(16, 16, 1, 8)]
-#[case::an_unused_limit_falls_at_once(16, 0, 1, 1)]
-#[case::a_small_change_is_not_made(16, 14, 14, 16)]
-#[case::the_last_unit_is_given_up(1, 0, 0, 0)]
-#[case::a_met_demand_does_not_swing(8, 8, 8, 8)]
-#[case::a_small_growth_is_not_made_for_spare_units(16, 3, 17, 16)]
-#[case::a_small_growth_is_made_for_a_demand(16, 17, 17, 17)]
+#[case::a_limit_in_use_shrinks_by_half(16, 16, 1, 8)]
+#[case::an_unused_limit_shrinks_immediately(16, 0, 1, 1)]
+#[case::a_small_change_is_skipped(16, 14, 14, 16)]
+#[case::the_last_unit_is_released(1, 0, 0, 0)]
+#[case::a_met_demand_keeps_its_limit(8, 8, 8, 8)]
+#[case::small_growth_for_spare_units_is_skipped(16, 3, 17, 16)]
+#[case::small_growth_for_a_demand_is_applied(16, 17, 17, 17)]
 fn a_limit_moves_towards_its_target_in_steps(
     #[case] current_limit: u32,
     #[case] demand: u32,
@@ -51,10 +51,10 @@
 }
 
 proptest! {
-    /// Whoever gets less than it demands gets as much as anybody, but for one unit: that is what max-min says. And nobody
-    /// is left without for ever.
+    /// Max-min fairness: a claim whose demand is not met gets at least as much as any other claim, minus one unit.
+    /// Over all rotations, each claim with a demand gets at least one unit if there is any capacity.
     #[test]
-    fn nobody_has_less_than_another_unless_it_demands_less(
+    fn no_claim_gets_less_than_another_unless_it_demands_less(
         capacity in 0..2_000u32,
         demands in proptest::collection::vec(0..300u32, 1..40),
     ) {
@@ -62,11 +62,11 @@
         for rotation in 0..demands.len() as u64 {
             let shares = max_min_shares(capacity, &demands, rotation);
             highest_sum = highest_sum.max(saturating_sum(&shares));
-            for (at, share) in shares.iter().enumerate() {
-                totals[at] += u64::from(*share);
-                prop_assert!(*share <= demands[at]);
-                let richest = shares.iter().max().copied().unwrap_or(0);
-                prop_assert!(*share == demands[at] || share + 1 >= richest, "{shares:?} of {demands:?}");
+            for (index, share) in shares.iter().enumerate() {
+                totals[index] += u64::from(*share);
+                prop_assert!(*share <= demands[index]);
+                let largest_share = shares.iter().max().copied().unwrap_or(0);
+                prop_assert!(*share == demands[index] || share + 1 >= largest_share, "{shares:?} of {demands:?}");
             }
         }
         prop_assert_eq!(highest_sum, capacity.min(demands.iter().sum()));
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,8 +1,8 @@
-//! Division of a fleet-wide budget among the nodes that share it, without I/O: what each node has used and what was
-//! rejected there comes in, lease limits come out.
+//! Division of a fleet-wide budget among the nodes that share it, without I/O. The input is each node's usage and
+//! whether its limit caused rejections, the output is the lease limits.
 //!
-//! Which node holds which lease, and until when, is agreed on in `lupincrank-control`. That crate also cuts grants that
-//! would exceed the capacity, so safety does not depend on the division.
+//! `lupincrank-control` replicates which node holds which lease, and until when. It also reduces grants that would
+//! exceed the capacity, so safety does not depend on the division.
 
 #![forbid(unsafe_code)]
 
--- a/crates/control/src/control_node/bootstrap.rs
+++ b/crates/control/src/control_node/bootstrap.rs
@@ -1,11 +1,12 @@
-//! Bootstrap of a control group, and joining one.
+//! Bootstrapping and joining a control group.
 //!
-//! A node that has joined no group and has the lowest name of all that are alive asks the others. Once a majority of all
-//! expected nodes has answered that they know of none either, it forms a group with all expected nodes as voters.
+//! A node that has joined no group and has the lowest name of all live members queries the others. Once a majority of
+//! all expected nodes, itself included, has answered that it knows of no group either, it forms a group with all
+//! expected nodes as voters.
 //!
-//! Two bootstraps can't both act: each would need a majority of the expected nodes, and an incarnation takes part in one
-//! group only, the one with the greater [`ClusterId`]. What can't be told from a first start is a majority that restarted
-//! from nothing while the rest is cut off.
+//! Two bootstrapped groups can't both commit: each would need a majority of the expected nodes, and an incarnation
+//! participates in only one group, the one with the higher [`ClusterId`]. A majority that restarted without stored
+//! state while the other nodes are partitioned can't be distinguished from a first start.
 
 use super::{ControlNode, Participation};
 use crate::lease_granter::LeaseGranter;
@@ -18,24 +19,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often other nodes are asked for their group, or told of a new one.
+/// The interval at which other nodes are queried for their group, or a new group is announced to them.
 const BOOTSTRAP_QUERY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an answer counts.
+/// The time for which an answer is valid.
 const BOOTSTRAP_ANSWER_TTL: Duration = Duration::from_secs(2);
-/// The epoch of a group that is formed by the nodes themselves.
+/// The epoch of a group that the nodes form without an operator.
 const FIRST_EPOCH: u64 = 1;
 
-/// Progress towards a group: answers of others, and the group that this node has formed.
+/// Progress of bootstrapping a group: the answers of other nodes, and the group that this node has formed.
 #[derive(Default)]
 pub(super) struct BootstrapProgress {
     answers: BTreeMap<MemberId, BootstrapAnswer>,
-    /// The group that this node has formed, while it has no leader.
+    /// The group that this node has formed, as long as the group has no leader.
     announced: Option<Bootstrap>,
-    /// When the others were last asked or told.
+    /// The time of the last query or announcement.
     last_sent_at: Option<Timestamp>,
 }
 
-/// The answer to a query.
+/// An answer to a query.
 struct BootstrapAnswer {
     received_at: Timestamp,
     knows_cluster: bool,
@@ -50,7 +51,7 @@
         self.answers.insert(from, answer);
     }
 
-    /// Whether this node announces a group that it has formed.
+    /// Returns true if this node is announcing a group that it has formed.
     pub(super) fn is_announcing(&self) -> bool {
         self.announced.is_some()
     }
@@ -73,7 +74,8 @@
 }
 
 impl ControlNode {
-    /// Asks the others for their group, and forms one if enough of them know of none.
+    /// Queries the other nodes for their group, and forms a group if a majority is present and none of them knows a
+    /// group.
     pub(super) fn advance_bootstrap(&mut self, now: Timestamp) {
         self.bootstrap_progress.drop_old_answers(now);
         if !self.has_lowest_name() || !self.bootstrap_progress.is_send_due(now) {
@@ -92,15 +94,15 @@
         }
     }
 
-    /// One incarnation for each expected name that has answered, this node included.
+    /// One incarnation for each expected node that has answered, this node included.
     fn present_expected_members(&self) -> Vec<Member> {
         let has_answered = |member: &&Member| {
             member.id == self.local_member.id
                 || self.bootstrap_progress.answers.contains_key(&member.id)
         };
-        // Of several incarnations of one name only the last has a vote.
+        // If several incarnations of one name have answered, only the one with the highest id becomes a voter.
         let by_name: BTreeMap<&str, &Member> = self
-            .alive
+            .live_members
             .values()
             .filter(has_answered)
             .filter(|member| self.config.expected_nodes.contains(&member.name))
@@ -109,7 +111,8 @@
         by_name.into_values().cloned().collect()
     }
 
-    /// All expected nodes are voters; ids for those that are absent are derived from this incarnation's own.
+    /// The configuration of a first group: all expected nodes are voters. The ids of absent nodes are derived from
+    /// this incarnation's id.
     fn first_bootstrap(&self, present: Vec<Member>) -> Bootstrap {
         let absent_count = (self.config.expected_nodes.len() - present.len()) as u64;
         let mut voters: Vec<MemberId> = present.iter().map(|member| member.id).collect();
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Forms a group and announces it from the next tick on.
+    /// Forms a group, which is announced from the next tick on.
     pub(super) fn form_cluster(&mut self, now: Timestamp, bootstrap: Bootstrap) {
         self.log_event(LogEvent::Bootstrapping(bootstrap.cluster_id));
         self.join_bootstrap(now, &bootstrap);
@@ -135,7 +138,7 @@
         self.bootstrap_progress.last_sent_at = None;
     }
 
-    /// Announces the group that this node has formed until there is a leader.
+    /// Announces the group that this node has formed until the group has a leader.
     pub(super) fn repeat_bootstrap(&mut self, now: Timestamp) {
         let Some(bootstrap) = &self.bootstrap_progress.announced else {
             return;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Joins a group that was formed with this node as a voter. Others are added by the group's leader.
+    /// Joins a group that was formed with this node as a voter. Other nodes are added by the leader of the group.
     pub(super) fn join_bootstrap(&mut self, now: Timestamp, bootstrap: &Bootstrap) {
         if !bootstrap.voters.contains(&self.local_member.id) {
             return;
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Takes part in this group from now on, and in no other.
+    /// Joins this group and stops participating in the previous one, if any.
     pub(super) fn join_cluster(
         &mut self,
         now: Timestamp,
@@ -189,7 +192,7 @@
         let Ok(mut log) = RaftLog::start(start) else {
             return;
         };
-        log.write_start(&mut self.actions);
+        log.write_join(&mut self.actions);
         self.lease_client.drop_lease(now);
         self.lease_granter = LeaseGranter::default();
         self.member_tracker = MemberTracker::default();
--- a/crates/control/src/control_node/config.rs
+++ b/crates/control/src/control_node/config.rs
@@ -9,14 +9,14 @@
 pub struct ControlConfig {
     /// The durations of leases.
     pub lease_terms: LeaseTerms,
-    /// The names of all nodes that are expected.
+    /// The names of all expected nodes.
     pub expected_nodes: BTreeSet<String>,
-    /// The budget to lease out, without the floors.
+    /// The budget to lease out, excluding the floors.
     pub capacity: u32,
     /// The units that each node may use without a lease.
     pub floor: u32,
-    /// How long after its start a node bootstraps no control group: it may hear of an existing one.
+    /// The time after its start for which a node bootstraps no control group, since it may learn of an existing one.
     pub bootstrap_grace: Duration,
-    /// How long a member must be unreachable before it is removed.
+    /// The time for which a member must be unreachable before it is removed.
     pub member_removal_delay: Duration,
 }
--- a/crates/control/src/control_node/leadership.rs
+++ b/crates/control/src/control_node/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader does each tick: changes of the membership, and grants.
+//! The leader's duties at each tick: membership changes and lease grants.
 
 use super::{ControlNode, Participation, ShutdownState};
 use crate::lease_granter::GrantContext;
@@ -10,9 +10,9 @@
 use lupincrank_placement::Timestamp;
 use std::collections::BTreeMap;
 
-/// Requests are granted together, in one entry every so many ticks.
+/// The number of ticks between two grant entries. Each entry grants all pending requests.
 const GRANT_INTERVAL_TICKS: u64 = 2;
-/// A snapshot that was not acknowledged is sent again every so many ticks.
+/// The number of ticks after which an unacknowledged snapshot is resent.
 const SNAPSHOT_RETRY_TICKS: u64 = 10;
 
 impl ControlNode {
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Proposes the next change of the membership, if one is due.
+    /// Proposes the next membership change, if one is due. Returns it if Raft accepted the proposal.
     fn change_membership(&mut self, now: Timestamp) -> Option<MembershipChange> {
         let configuration = self.log()?.configuration();
         self.member_tracker
-            .update_unreachable(now, &configuration, &self.alive);
+            .update_unreachable(now, &configuration, &self.live_members);
         if self.log()?.has_pending_change() {
             return None;
         }
@@ -59,19 +59,19 @@
             now,
             local_id: self.local_member.id,
             is_shutting_down: self.shutdown_state != ShutdownState::Running,
-            alive: &self.alive,
+            live_members: &self.live_members,
             removal_delay: self.config.member_removal_delay,
         };
         let observations: BTreeMap<MemberId, _> = configuration
             .all()
-            .chain(self.alive.keys().copied())
+            .chain(self.live_members.keys().copied())
             .map(|id| (id, self.member_tracker.observe(id, log, &local)))
             .collect();
         let view = MembershipView {
             leader: self.local_member.id,
             configuration,
             members: &log.state().members,
-            alive: &self.alive,
+            live_members: &self.live_members,
             observations: &observations,
         };
         view.next_change()
@@ -79,7 +79,11 @@
 
     fn grant_leases(&mut self, now: Timestamp) {
         let is_due = self.tick_count.is_multiple_of(GRANT_INTERVAL_TICKS);
-        if !is_due || self.led_log().is_none_or(|log| self.must_wait(now, log)) {
+        if !is_due
+            || self
+                .log_if_leader()
+                .is_none_or(|log| self.must_delay_grants(now, log))
+        {
             return;
         }
         let Participation::Joined(log) = &mut self.participation else {
@@ -88,14 +92,15 @@
         let context = GrantContext {
             now,
             terms: &self.config.lease_terms,
-            alive: &self.alive,
+            live_members: &self.live_members,
             tracker: &self.member_tracker,
         };
         self.lease_granter.propose(log, &context);
     }
 
-    /// Whether leases of an earlier group may still be in use: a group that has granted nothing can't know of them.
-    fn must_wait(&self, now: Timestamp, log: &RaftLog) -> bool {
+    /// Returns true if leases of an earlier group may still be in use. A group that has granted nothing does not know
+    /// of such leases.
+    fn must_delay_grants(&self, now: Timestamp, log: &RaftLog) -> bool {
         let Some(leader_since) = log.leader_since() else {
             return true;
         };
--- a/crates/control/src/control_node/lease.rs
+++ b/crates/control/src/control_node/lease.rs
@@ -8,17 +8,17 @@
 use lupincrank_placement::Timestamp;
 
 impl ControlNode {
-    /// What this node may use of the budget now, the floor included.
+    /// The units of the budget that this node may currently use, its floor included.
     pub fn lease_limit(&self, now: Timestamp) -> UsageLimit {
         self.lease_client.limit(now)
     }
 
-    /// What this node may use without a lease.
+    /// The units that this node may currently use without a lease.
     pub fn lease_floor(&self, now: Timestamp) -> u32 {
         self.lease_client.floor(now)
     }
 
-    /// This node's share of the capacity, as a ratio; `None` without a lease.
+    /// This node's share of the capacity as a ratio, or `None` without a lease.
     pub fn fleet_share(&self, now: Timestamp) -> Option<f64> {
         let capacity = self.log()?.state().capacity.max(1);
         let usage_limit = self.lease_limit(now);
@@ -26,7 +26,7 @@
         Some(f64::from(usage_limit.limit) / f64::from(capacity))
     }
 
-    /// Records what was used of the budget since the last call.
+    /// Records the usage of the budget since the last call.
     pub fn record_usage(&mut self, usage: BudgetUsage) {
         self.lease_client.record_usage(usage);
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Only the leader may grant leases.
+    /// Handles a grant. Only the leader may grant leases.
     pub(super) fn on_lease_granted(
         &mut self,
         now: Timestamp,
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Logs that the limit has changed since the last call.
+    /// Logs the limit if it has changed since the last call.
     pub(super) fn report_limit_change(&mut self, now: Timestamp) {
-        let Some(changed) = self.lease_client.changed_limit(now) else {
+        let Some(changed) = self.lease_client.take_limit_change(now) else {
             return;
         };
         self.log_event(match changed.expires_at {
--- a/crates/control/src/control_node/messages.rs
+++ b/crates/control/src/control_node/messages.rs
@@ -7,7 +7,7 @@
 use lupincrank_placement::Timestamp;
 
 impl ControlNode {
-    /// Takes in a message from another member, or from this one.
+    /// Handles a message from another member or from this node.
     pub fn on_message(&mut self, now: Timestamp, from: MemberId, message: ControlMessage) {
         if self.is_disqualified() {
             return;
@@ -44,7 +44,7 @@
         self.log().map(RaftLog::cluster_id)
     }
 
-    /// Whether the sender is in a group that this node's group has replaced.
+    /// Returns true if the sender belongs to a group that this node's group has replaced.
     fn is_fenced(&self, message: &ControlMessage) -> bool {
         match (message.cluster_id(), self.cluster_id()) {
             (Some(theirs), Some(ours)) => theirs < ours,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Whether the message is for members of another group. Raft messages of a newer group are not: its leader has added
-    /// this incarnation.
+    /// Returns true if the message is restricted to members of another group. Raft messages of a newer group are not
+    /// restricted: the leader of that group has added this incarnation.
     fn is_for_another_group(&self, message: &ControlMessage) -> bool {
         let is_raft = matches!(message, ControlMessage::Raft(..));
         let theirs = message.cluster_id();
@@ -74,7 +74,8 @@
         self.bootstrap_progress.on_answer(now, from, known);
     }
 
-    /// A group replaces all with a lower id; the sender of one that is already replaced is told so.
+    /// Handles the announcement of a group. A group replaces all groups with a lower id. If the announced group is
+    /// already replaced, the sender is informed of the current one.
     fn on_bootstrap(&mut self, now: Timestamp, from: MemberId, bootstrap: &Bootstrap) {
         let announced = Some(bootstrap.cluster_id);
         let ours = self.cluster_id();
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The leader confirms that this node is no longer part of the group.
+    /// Handles the leader's confirmation that this node was removed from the group.
     fn on_removed(&mut self) {
         if self.shutdown_state == ShutdownState::Leaving {
             self.shutdown_state = ShutdownState::Removed;
--- a/crates/control/src/control_node/mod.rs
+++ b/crates/control/src/control_node/mod.rs
@@ -1,9 +1,9 @@
-//! One node's part in the control group.
+//! One node's participation in the control group.
 //!
-//! The node is driven by its caller: time, messages and the members that are alive come in, [`Action`]s go out. Each
-//! concern has its own module: `bootstrap` forms a group, `replication` drives the log, `leadership` is what a leader
-//! does, `lease` requests and accepts the node's own lease, `shutdown` leaves the group, `messages` dispatches what
-//! others send, `operator` answers operators, and `status` reports.
+//! The node is driven by its caller: it receives time, messages and the set of live members, and returns [`Action`]s.
+//! Each concern has its own module: `bootstrap` forms a group, `replication` drives the log, `leadership` performs
+//! the leader's duties, `lease` requests and accepts the node's own lease, `shutdown` leaves the group, `messages`
+//! dispatches received messages, `operator` handles operators' requests, and `status` reports the status.
 
 mod bootstrap;
 mod config;
@@ -33,31 +33,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// [`ControlNode::on_tick`] is called this often.
+/// The interval at which [`ControlNode::on_tick`] is called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Ticks between two announcements of a node that it is leaving.
+/// The number of ticks between two `Leaving` messages of a node that is shutting down.
 const LEAVING_REPEAT_TICKS: u64 = 3;
 
-/// Whether the node takes part in a control group.
+/// The participation of the node in a control group.
 enum Participation {
-    /// It has joined no group yet.
+    /// The node has not joined a group yet.
     NotJoined,
     Joined(Box<RaftLog>),
-    /// Its log was inconsistent: this incarnation must not vote again.
+    /// The log was inconsistent or stable storage was lost, so this incarnation must not vote again.
     Disqualified,
 }
 
-/// How far a graceful shutdown has come.
+/// The progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ShutdownState {
     Running,
-    /// The node has told the voters that it is leaving.
+    /// The node has announced to the voters that it is leaving.
     Leaving,
-    /// The leader has confirmed that the node is no longer part of the group.
+    /// The leader has confirmed that the node was removed from the group.
     Removed,
 }
 
-/// One node's part in the control group, without I/O.
+/// One node of the control group, without I/O.
 pub struct ControlNode {
     local_member: Member,
     config: ControlConfig,
@@ -69,16 +69,16 @@
     lease_client: LeaseClient,
     lease_granter: LeaseGranter,
     member_tracker: MemberTracker,
-    /// The members that are alive as membership sees it, the local one included.
-    alive: BTreeMap<MemberId, Member>,
+    /// The members that gossip membership reports as live, including the local one.
+    live_members: BTreeMap<MemberId, Member>,
     rejected: RejectedMessages,
     tick_count: u64,
     actions: Vec<Action>,
 }
 
 impl ControlNode {
-    /// A node that has joined no group, or goes on as the incarnation that `stored` is of. With `stored` the node is
-    /// persistent: it asks for writes by [`Action::Write`].
+    /// Creates a node that has joined no group, or that resumes the incarnation in `stored`. With `stored`, the node
+    /// is persistent: it requests writes by [`Action::Write`].
     ///
     /// # Errors
     /// [`ControlError::InconsistentStoredLog`] if the stored log can't be resumed.
@@ -104,7 +104,7 @@
             bootstrap_progress: BootstrapProgress::default(),
             lease_granter: LeaseGranter::default(),
             member_tracker: MemberTracker::default(),
-            alive: BTreeMap::new(),
+            live_members: BTreeMap::new(),
             rejected: RejectedMessages::default(),
             tick_count: 0,
             actions: Vec::new(),
@@ -115,11 +115,11 @@
         Ok(node)
     }
 
-    /// Advances time. `alive` are the other members that are alive as membership sees it.
-    pub fn on_tick(&mut self, now: Timestamp, alive: &BTreeMap<MemberId, Member>) {
+    /// Advances time. `live_members` are the other members that gossip membership reports as live.
+    pub fn on_tick(&mut self, now: Timestamp, live_members: &BTreeMap<MemberId, Member>) {
         self.tick_count += 1;
-        self.alive.clone_from(alive);
-        self.alive
+        self.live_members.clone_from(live_members);
+        self.live_members
             .insert(self.local_member.id, self.local_member.clone());
         if !self.is_disqualified() {
             self.run_tick(now);
@@ -144,30 +144,31 @@
         };
         let members = &log.state().members;
         self.lease_granter.retain_members(members);
-        self.member_tracker.update_departures(&self.alive, members);
+        self.member_tracker
+            .update_departures(&self.live_members, members);
     }
 
-    /// The actions since the last call, in order.
+    /// Returns the actions since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The replicated state, as far as this node has it; `None` if it has joined no group.
+    /// The replicated state as applied at this node; `None` if the node has joined no group.
     pub fn state(&self) -> Option<&ClusterState> {
         self.log().map(RaftLog::state)
     }
 
-    /// Whether this node is the leader.
+    /// Returns true if this node is the leader.
     pub fn is_leader(&self) -> bool {
         self.log().is_some_and(RaftLog::is_leader)
     }
 
-    /// Whether this node knows a leader.
+    /// Returns true if this node knows a leader.
     pub fn has_leader(&self) -> bool {
         self.known_leader().is_some()
     }
 
-    /// Whether this node is a voter.
+    /// Returns true if this node is a voter.
     pub fn is_voter(&self) -> bool {
         self.log()
             .is_some_and(|log| log.configuration().voters.contains(&self.local_member.id))
@@ -178,12 +179,12 @@
         self.log().into_iter().flat_map(RaftLog::log_lines)
     }
 
-    /// The members that this node needs a connection to: the leader, for a voter the other voters, and for a leader or
-    /// a node that bootstraps a group all members.
+    /// The members that this node needs a connection to: the leader, and, if this node is a voter, the other voters.
+    /// A leader, and a node that bootstraps a group, needs connections to all live members.
     pub fn desired_connections(&self) -> BTreeSet<MemberId> {
         let mut desired = match self.log() {
             Some(log) => self.desired_by_member(log),
-            None if self.has_lowest_name() => self.alive.keys().copied().collect(),
+            None if self.has_lowest_name() => self.live_members.keys().copied().collect(),
             None => BTreeSet::new(),
         };
         desired.remove(&self.local_member.id);
@@ -192,7 +193,7 @@
 
     fn desired_by_member(&self, log: &RaftLog) -> BTreeSet<MemberId> {
         if log.is_leader() || self.bootstrap_progress.is_announcing() {
-            return self.alive.keys().copied().collect();
+            return self.live_members.keys().copied().collect();
         }
         let mut desired = BTreeSet::new();
         let voters = log.configuration().voters;
@@ -200,11 +201,11 @@
             desired.extend(voters);
         }
         desired.extend(log.leader());
-        desired.retain(|id| self.alive.contains_key(id));
+        desired.retain(|id| self.live_members.contains_key(id));
         desired
     }
 
-    /// Handles the messages that this node has sent to itself; the other actions stay.
+    /// Handles the messages that this node has sent to itself. Other actions remain queued.
     pub fn deliver_own_messages(&mut self, now: Timestamp) {
         let local_id = self.local_member.id;
         let mut own_messages = Vec::new();
@@ -234,7 +235,7 @@
     }
 
     /// The log, if this node is the leader.
-    fn led_log(&self) -> Option<&RaftLog> {
+    fn log_if_leader(&self) -> Option<&RaftLog> {
         self.log().filter(|log| log.is_leader())
     }
 
@@ -246,10 +247,10 @@
         matches!(self.participation, Participation::Disqualified)
     }
 
-    /// Whether this node is the first of all that are alive, by name and id.
+    /// Returns true if this node comes first among all live members, ordered by name and id.
     fn has_lowest_name(&self) -> bool {
         let local = (&self.local_member.name, self.local_member.id);
-        self.alive
+        self.live_members
             .values()
             .all(|member| local <= (&member.name, member.id))
     }
@@ -259,7 +260,7 @@
     }
 
     fn send_to_others(&mut self, message: &ControlMessage) {
-        let others: Vec<MemberId> = self.alive.keys().copied().collect();
+        let others: Vec<MemberId> = self.live_members.keys().copied().collect();
         for id in others {
             if id != self.local_member.id {
                 self.send(id, message.clone());
--- a/crates/control/src/control_node/operator.rs
+++ b/crates/control/src/control_node/operator.rs
@@ -1,4 +1,4 @@
-//! Requests of operators: recovery of a lost quorum, and changes of the capacity.
+//! Operators' requests: recovery of a lost quorum, and changes of the capacity.
 
 use super::ControlNode;
 use crate::entry::Entry;
@@ -10,12 +10,12 @@
 use lupincrank_placement::Timestamp;
 use std::collections::BTreeMap;
 
-/// What is printed for the leader's name if it is not known.
+/// Printed in place of the leader's name if the leader is unknown.
 const UNKNOWN_LEADER_NAME: &str = "nobody";
 
 impl ControlNode {
-    /// Forms a new group of all members that are alive, in a higher epoch that fences off the group whose majority is
-    /// lost for good. `bootstrap_id` is drawn at random.
+    /// Forms a new group of all live members. Its higher epoch fences the group whose majority is permanently lost.
+    /// `bootstrap_id` must be a random number.
     ///
     /// # Errors
     /// [`ControlError::Disqualified`], or [`ControlError::LeaderPresent`] if the quorum is not lost.
@@ -35,7 +35,7 @@
             epoch: former_epoch + 1,
             bootstrap_id,
         };
-        let members: Vec<Member> = self.alive.values().cloned().collect();
+        let members: Vec<Member> = self.live_members.values().cloned().collect();
         let bootstrap = Bootstrap {
             cluster_id,
             voters: members.iter().map(|member| member.id).collect(),
@@ -46,8 +46,8 @@
         Ok(cluster_id)
     }
 
-    /// Asks the leader for another capacity. It holds once the entry is applied; leases follow as they are renewed.
-    /// Returns the epoch of the state before.
+    /// Requests that the leader change the capacity. The change takes effect once its entry is applied, and limits
+    /// follow as leases are renewed. Returns the epoch of the state before the change.
     ///
     /// # Errors
     /// [`ControlError::NotJoined`] or [`ControlError::NoLeader`].
@@ -64,9 +64,9 @@
         Ok(epoch)
     }
 
-    /// Proposes another capacity, if this node is the leader.
+    /// Proposes a change of the capacity, if this node is the leader.
     pub(super) fn propose_capacity(&mut self, now: Timestamp, capacity: u32) {
-        self.guarded(now, |node| {
+        self.disqualify_on_panic(now, |node| {
             if let Some(log) = node.log_mut().filter(|log| log.is_leader()) {
                 log.propose(&Entry::CapacityChanged(capacity));
             }
@@ -74,7 +74,7 @@
         });
     }
 
-    /// The limits that would be granted out of this capacity at the next renewal, by node name. Only the leader knows
+    /// The limits that would be granted with this capacity at the next renewal, by node name. Only the leader knows
     /// the demands.
     ///
     /// # Errors
@@ -91,7 +91,7 @@
         let context = GrantContext {
             now,
             terms: &self.config.lease_terms,
-            alive: &self.alive,
+            live_members: &self.live_members,
             tracker: &self.member_tracker,
         };
         let limits = self
--- a/crates/control/src/control_node/replication.rs
+++ b/crates/control/src/control_node/replication.rs
@@ -1,7 +1,7 @@
-//! Driving the replicated log.
+//! Drives the replicated log.
 //!
-//! The Raft library panics where a message contradicts what it holds. That must not end a node that serves clients: the
-//! log is dropped, and this incarnation takes no further part.
+//! The Raft library panics if a message contradicts its state. The panic must not terminate a node that serves
+//! clients, so the log is dropped and this incarnation stops participating.
 
 use super::{ControlNode, Participation};
 use crate::durable::DurableState;
@@ -14,7 +14,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 impl ControlNode {
-    /// Goes on with the group that an earlier process of this incarnation was in, if any.
+    /// Resumes participation in the group that an earlier process of this incarnation had joined, if any.
     pub(super) fn resume(&mut self, stored: &DurableState) -> Result<(), ControlError> {
         let Some(cluster_id) = stored.cluster_id else {
             return Ok(());
@@ -31,22 +31,22 @@
         Ok(())
     }
 
-    /// All writes up to this one are completed.
+    /// Handles the completion of all writes up to this one.
     pub fn on_write_completed(&mut self, now: Timestamp, sequence: u64) {
         if let Some(log) = self.log_mut() {
             log.on_write_completed(sequence);
         }
-        self.guarded(now, |node| node.process_ready(now));
+        self.disqualify_on_panic(now, |node| node.process_ready(now));
     }
 
-    /// Stable storage is lost: this incarnation takes no further part.
+    /// Handles the loss of stable storage: this incarnation stops participating.
     pub fn on_storage_lost(&mut self, now: Timestamp) {
         self.disqualify(now);
     }
 
-    /// Advances the log's time, and does what a leader does each tick.
+    /// Advances the log by one tick, and performs the leader's duties if this node is the leader.
     pub(super) fn tick_log(&mut self, now: Timestamp) {
-        self.guarded(now, |node| {
+        self.disqualify_on_panic(now, |node| {
             if let Some(log) = node.log_mut() {
                 log.tick();
             }
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Takes in a Raft message of this group, or of a newer one that has added this incarnation.
+    /// Handles a Raft message of this group, or of a newer one that has added this incarnation.
     pub(super) fn on_raft(
         &mut self,
         now: Timestamp,
@@ -70,11 +70,11 @@
             return;
         };
         if self.log().is_none_or(|log| log.cluster_id() < cluster_id) {
-            // The new group's leader sends a snapshot with all of the state.
+            // The leader of the new group sends a snapshot with the complete state.
             let storage = LogStorage::default();
             self.join_cluster(now, cluster_id, storage, ClusterState::default());
         }
-        self.guarded(now, |node| {
+        self.disqualify_on_panic(now, |node| {
             let is_accepted = node.log_mut().is_none_or(|log| log.step(message));
             if !is_accepted {
                 node.rejected.invalid += 1;
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Carries out what the log has ready.
+    /// Processes everything that the log has ready.
     pub(super) fn process_ready(&mut self, now: Timestamp) {
         let Participation::Joined(log) = &mut self.participation else {
             return;
@@ -104,15 +104,19 @@
         }
     }
 
-    /// The log can't be relied on any more: drops it, and takes no further part.
+    /// Drops the log, which must not be used any more, and stops participating.
     fn disqualify(&mut self, now: Timestamp) {
         self.participation = Participation::Disqualified;
         self.lease_client.drop_lease(now);
         self.log_event(LogEvent::LogInconsistent);
     }
 
-    /// Runs `work`, and disqualifies this incarnation if it panics.
-    pub(super) fn guarded(&mut self, now: Timestamp, work: impl FnOnce(&mut ControlNode)) {
+    /// Runs `work` and disqualifies this incarnation if `work` panics.
+    pub(super) fn disqualify_on_panic(
+        &mut self,
+        now: Timestamp,
+        work: impl FnOnce(&mut ControlNode),
+    ) {
         if catch_unwind(AssertUnwindSafe(|| work(self))).is_err() {
             self.disqualify(now);
         }
--- a/crates/control/src/control_node/shutdown.rs
+++ b/crates/control/src/control_node/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the node stops using its lease, hands leadership over, and waits until its vote is not needed.
+//! Graceful shutdown: the node stops using its lease, transfers leadership, and waits until its vote is not needed.
 
 use super::{ControlNode, ShutdownState, LEAVING_REPEAT_TICKS};
 use crate::member::{ClusterId, MemberId};
@@ -6,12 +6,12 @@
 use crate::raft_log::RaftLog;
 use lupincrank_placement::Timestamp;
 
-/// With fewer members alive there is nobody who could confirm the removal.
-const MIN_ALIVE_TO_CONFIRM: usize = 2;
+/// With fewer live members than this, no other member could confirm the removal.
+const MIN_LIVE_MEMBERS_TO_CONFIRM: usize = 2;
 
 impl ControlNode {
-    /// Begins a graceful shutdown: this node uses nothing from now on, and repeats that it is leaving until the leader
-    /// confirms it.
+    /// Begins a graceful shutdown: the node stops using its lease and its floor, and announces that it is leaving
+    /// until the leader confirms its removal.
     pub fn begin_leaving(&mut self, now: Timestamp) {
         if self.shutdown_state != ShutdownState::Running {
             return;
@@ -23,12 +23,12 @@
         self.report_limit_change(now);
     }
 
-    /// Whether the shutdown is complete: nobody waits for this node's vote.
+    /// Returns true if the shutdown is complete: no other member needs this node's vote.
     pub fn has_left(&self) -> bool {
         match self.shutdown_state {
             ShutdownState::Running => false,
             ShutdownState::Leaving => {
-                self.log().is_none() || self.alive.len() < MIN_ALIVE_TO_CONFIRM
+                self.log().is_none() || self.live_members.len() < MIN_LIVE_MEMBERS_TO_CONFIRM
             }
             ShutdownState::Removed => true,
         }
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Hands leadership to a voter that stays and has nearly all of the log, as soon as there is one.
+    /// Transfers leadership to a suitable voter, as soon as there is one.
     fn transfer_leadership(&mut self, now: Timestamp) {
-        let Some(successor) = self.led_log().and_then(|log| self.successor(log)) else {
+        let Some(successor) = self.log_if_leader().and_then(|log| self.successor(log)) else {
             return;
         };
-        self.guarded(now, |node| {
+        self.disqualify_on_panic(now, |node| {
             if let Some(log) = node.log_mut() {
                 log.transfer_leadership(successor);
             }
@@ -57,13 +57,13 @@
         });
     }
 
-    /// The successor must have answered lately: a transfer to a voter that has just died holds back all proposals for
-    /// the time of an election.
+    /// Returns a voter that is not leaving and has nearly all of the log. The voter must have answered recently: a
+    /// transfer to a voter that has just failed would block all proposals for the duration of an election.
     fn successor(&self, log: &RaftLog) -> Option<MemberId> {
         let voters = log.configuration().voters;
         voters.into_iter().find(|id| {
             *id != self.local_member.id
-                && self.alive.contains_key(id)
+                && self.live_members.contains_key(id)
                 && !self.member_tracker.is_leaving(*id)
                 && log.is_caught_up(*id)
                 && log.is_responsive(*id)
@@ -82,11 +82,11 @@
         }
     }
 
-    /// A member is leaving; once it is removed the leader confirms it.
+    /// Records that a member is leaving. Once the member is removed, the leader confirms the removal.
     pub(super) fn on_leaving(&mut self, now: Timestamp, from: MemberId, cluster_id: ClusterId) {
         self.member_tracker.on_leaving(now, from);
         let is_removed = self
-            .led_log()
+            .log_if_leader()
             .is_some_and(|log| !log.configuration().contains(from));
         if is_removed {
             self.send(from, ControlMessage::Removed(cluster_id));
--- a/crates/control/src/control_node/status.rs
+++ b/crates/control/src/control_node/status.rs
@@ -7,11 +7,11 @@
 use crate::status::{Participant, Status};
 use lupincrank_placement::Timestamp;
 
-/// What is printed for an expected node that was never present.
+/// The printed name of an expected node that was never present.
 const ABSENT_NAME: &str = "(expected)";
 
 impl ControlNode {
-    /// The status of this node, and of the group as far as it knows.
+    /// The status of this node, and of the group as known to this node.
     pub fn status(&self, now: Timestamp) -> Status {
         let usage_limit = self.lease_limit(now);
         let remaining = usage_limit
@@ -39,7 +39,7 @@
         let leader = log.leader()?;
         let known = log.state().members.get(&leader);
         known
-            .or_else(|| self.alive.get(&leader))
+            .or_else(|| self.live_members.get(&leader))
             .map(|member| member.name.clone())
     }
 
@@ -63,7 +63,7 @@
         Participant {
             member: member.unwrap_or_else(|| absent_member(id)),
             role: if is_leader { "leader" } else { role },
-            alive: self.alive.contains_key(&id),
+            alive: self.live_members.contains_key(&id),
             lease: state.leases.get(&id).map_or(0, ActiveLease::charged),
         }
     }
--- a/crates/control/src/durable.rs
+++ b/crates/control/src/durable.rs
@@ -1,64 +1,64 @@
-//! The part of the log that survives a process, if it is configured to: which writes must reach stable storage, in which
-//! order, and what they add up to. How they are stored is up to the caller.
+//! The part of the log that outlives a process if persistence is configured: the writes that must reach stable
+//! storage, their order, and the stored state that results from them. The caller chooses how to store them.
 
 use crate::member::{ClusterId, MemberId};
 use std::collections::BTreeMap;
 
-/// A snapshot as it is stored.
+/// A stored snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredSnapshot {
     /// The index of the last entry that the snapshot includes.
     pub last_index: u64,
-    /// The snapshot as protobuf.
+    /// The snapshot, encoded as protobuf.
     pub bytes: Vec<u8>,
 }
 
-/// A log entry as it is stored.
+/// A stored log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredEntry {
-    /// Its index in the log.
+    /// The index of the entry in the log.
     pub index: u64,
-    /// The entry as protobuf.
+    /// The entry, encoded as protobuf.
     pub bytes: Vec<u8>,
 }
 
-/// One atomic write. Writes are carried out in order, and synced before they are reported as completed. The fields apply
-/// in the order in which they stand here.
+/// One atomic write. Writes are carried out in order, and synced before they are reported as completed. The fields
+/// are applied in the order of their declaration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogWrite {
-    /// Reported back when the write is completed; each write has a higher one.
+    /// Reported back when the write is completed. Increases with each write.
     pub sequence: u64,
-    /// The node joins this control group: all that was stored of another one is deleted.
+    /// The node joins this control group. Everything that was stored for another group is deleted.
     pub starts_cluster: Option<ClusterId>,
-    /// Deletes all entries: a received snapshot replaces them.
+    /// Deletes all entries, because a received snapshot replaces them.
     pub clears_entries: bool,
-    /// Replaces the snapshot, and deletes the entries that it includes.
+    /// Replaces the snapshot and deletes the entries that it includes.
     pub snapshot: Option<StoredSnapshot>,
-    /// Replaces term and vote, as protobuf.
+    /// Replaces term and vote, encoded as protobuf.
     pub hard_state: Option<Vec<u8>>,
-    /// Consecutive entries; those stored from the first one's index on are replaced.
+    /// Consecutive entries. They replace all stored entries from the index of the first one on.
     pub entries: Vec<StoredEntry>,
 }
 
-/// What is stored of one incarnation.
+/// The stored state of one incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
     /// The incarnation.
     pub member_id: MemberId,
     /// The number of processes that have run as this incarnation, the current one included.
     pub start_count: u32,
-    /// The control group that it has joined.
+    /// The control group that the incarnation has joined.
     pub cluster_id: Option<ClusterId>,
-    /// The latest snapshot, as protobuf.
+    /// The latest snapshot, encoded as protobuf.
     pub snapshot: Option<Vec<u8>>,
-    /// Term and vote, as protobuf.
+    /// Term and vote, encoded as protobuf.
     pub hard_state: Option<Vec<u8>>,
-    /// The entries after the snapshot by index, as protobuf.
+    /// The entries after the snapshot by index, encoded as protobuf.
     pub entries: BTreeMap<u64, Vec<u8>>,
 }
 
 impl DurableState {
-    /// Applies a write.
+    /// Applies a write to the stored state.
     pub fn apply(&mut self, write: &LogWrite) {
         if let Some(cluster_id) = write.starts_cluster {
             self.start_cluster(cluster_id);
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -6,16 +6,16 @@
 /// An entry of the replicated log. Members are added and removed by Raft's own configuration changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Leases for members that asked for them.
+    /// Grants leases to members that requested them.
     LeasesGranted(Vec<Grant>),
-    /// Leases that have expired by the leader's clock, with its margin of safety.
+    /// Removes leases that have expired by the leader's clock, safety margin included.
     LeasesExpired(Vec<GrantId>),
-    /// Another capacity of the budget.
+    /// Sets the capacity of the budget.
     CapacityChanged(u32),
 }
 
 impl Entry {
-    /// One line for operators. The printed log has had this text from the first version on.
+    /// One line for operators. The texts are part of the printed log's format, which must not change.
     pub(crate) fn description(&self) -> String {
         match self {
             Entry::LeasesGranted(grants) => format!("{} grants", grants.len()),
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,27 +1,27 @@
-//! What can go wrong with a request to the control group, and with a log from an earlier process.
+//! Errors of requests to the control group, and of resuming a log that an earlier process stored.
 
 use thiserror::Error;
 
-/// Why a request by an operator was rejected, or why a stored log can't be resumed.
+/// The reason why an operator's request was rejected, or why a stored log can't be resumed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ControlError {
-    /// The entries, the snapshot and the vote of a stored log don't fit together.
-    #[error("the log on the disk contradicts itself")]
+    /// The entries, the snapshot and the vote of a stored log are inconsistent.
+    #[error("the stored log is inconsistent")]
     InconsistentStoredLog,
-    /// The log of this incarnation was inconsistent: it must not vote again.
-    #[error("this process takes no part any more: start it again")]
+    /// The log of this incarnation was inconsistent or its stable storage was lost, so it must not vote again.
+    #[error("this process is excluded from the control group; restart it")]
     Disqualified,
     /// The quorum is not lost: a leader is known.
-    #[error("the council has a leader: nothing is to be founded anew")]
+    #[error("the control group has a leader; quorum recovery is not allowed")]
     LeaderPresent,
     /// This node has not joined a control group.
-    #[error("this node takes part in no council")]
+    #[error("this node has not joined a control group")]
     NotJoined,
-    /// No leader is known that could carry out the request.
-    #[error("the council has no leader now")]
+    /// No leader is known that could process the request.
+    #[error("the control group has no leader")]
     NoLeader,
     /// Only the leader can answer; this node is not the leader.
-    #[error("only the leader knows what all want: {leader} leads")]
+    #[error("only the leader knows the demand of all nodes; leader: {leader}")]
     NotLeader {
         /// The name of the leader.
         leader: String,
--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -5,22 +5,23 @@
 use lupincrank_placement::Timestamp;
 use std::collections::VecDeque;
 
-/// Request numbers start at the start count shifted by this, so that each process's numbers are above those of the
-/// processes before it. At one request a renewal the numbers between two starts last for years.
+/// Request numbers start at the start count shifted left by this many bits, so that each process uses higher numbers
+/// than earlier processes of its incarnation. At one request per renewal, the numbers between two starts last for
+/// years.
 const START_COUNT_SHIFT: u32 = 32;
-/// The number of past leases that are remembered. Beyond it the oldest is merged into the next one.
+/// The maximum number of past leases to keep. Beyond it, the oldest is merged into the next one.
 const MAX_PAST_LEASES: usize = 64;
 
-/// What a node may use of the budget.
+/// The units of the budget that a node may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsageLimit {
     /// The units that may be used within any accounting window, the floor included.
     pub limit: u32,
-    /// When the lease in it expires, by the holder's clock; the floor alone never does.
+    /// The time when the lease expires, by the holder's clock. `None` without a lease: the floor does not expire.
     pub expires_at: Option<Timestamp>,
 }
 
-/// A lease that was granted, and when it ended or will.
+/// A granted lease, and the time when it ended or will end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
     limit: u32,
@@ -28,13 +29,13 @@
 }
 
 impl GrantedLease {
-    /// Whether usage under it may still count.
+    /// Returns true if usage under this lease may still count.
     fn counts_at(&self, now: Timestamp, terms: &LeaseTerms) -> bool {
         now.saturating_duration_since(self.ends_at) < terms.accounting_window
     }
 }
 
-/// The holder's side of a lease: sends requests, accepts grants and knows what may be used.
+/// The holder's side of a lease: creates requests, accepts grants and tracks the limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     floor: u32,
@@ -43,19 +44,19 @@
     requested_at: Option<Timestamp>,
     current: Option<GrantedLease>,
     past: VecDeque<GrantedLease>,
-    /// No request is made before: what an earlier process of this incarnation used still counts, and would add up with
-    /// what this one uses.
+    /// No request is made before this time: the usage of an earlier process of this incarnation still counts, and
+    /// would add to the usage of this process.
     first_request_at: Option<Timestamp>,
-    /// The lease was given back for good, and the floor with it.
+    /// Whether lease and floor were released permanently.
     is_retired: bool,
 }
 
 impl LeaseHolder {
-    /// A holder without a lease. Its floor is available after one accounting window: what the previous incarnation of the
-    /// same name used of it still counts until then.
+    /// Creates a holder without a lease. Its floor is available after one accounting window: usage of the floor by
+    /// the previous incarnation of the same name still counts until then.
     ///
-    /// `start_count` is the number of processes that have run as this incarnation, 0 without persistence. From the second
-    /// one on, the first request waits until nothing counts that an earlier process used.
+    /// `start_count` is the number of processes that have run as this incarnation, 0 without persistence. From the
+    /// second process on, the first request waits until the usage of earlier processes does not count any more.
     pub fn new(terms: &LeaseTerms, now: Timestamp, floor: u32, start_count: u32) -> LeaseHolder {
         let floor_available_at = now.saturating_add(terms.accounting_window);
         LeaseHolder {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Gives back lease and floor, and accepts no further grant.
+    /// Releases lease and floor permanently.
     pub fn retire(&mut self, now: Timestamp) {
         self.drop_lease(now);
         self.is_retired = true;
     }
 
-    /// The units that may be used without a lease.
+    /// The units that may currently be used without a lease.
     pub fn floor(&self, now: Timestamp) -> u32 {
         if now < self.floor_available_at || self.is_retired {
             0
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The units that may be used now: those of the lease and the floor.
+    /// The units that may currently be used: those of the lease and the floor.
     pub fn limit(&self, now: Timestamp) -> UsageLimit {
         let floor = self.floor(now);
         match self.current {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether the next request is due. It is due sooner if `usage` was limited.
+    /// Returns true if the next request is due. It is due sooner if `usage` was limited.
     pub fn should_request(&self, terms: &LeaseTerms, now: Timestamp, usage: &BudgetUsage) -> bool {
         if self.is_retired || self.first_request_at.is_some_and(|first| now < first) {
             return false;
@@ -111,7 +112,7 @@
             .is_none_or(|requested_at| now.saturating_duration_since(requested_at) >= interval)
     }
 
-    /// Makes a request. Grants of earlier requests are void from here on, whenever they arrive.
+    /// Creates the next request. From then on, grants of earlier requests are rejected.
     pub fn next_request(
         &mut self,
         terms: &LeaseTerms,
@@ -130,7 +131,8 @@
 
     /// The highest limit under which usage may still count.
     fn max_in_use(&self, terms: &LeaseTerms, now: Timestamp) -> u32 {
-        // An expired lease stays the current one until another is granted, and counts for a window after its end.
+        // An expired lease stays the current one until another is granted, and counts for one accounting window after
+        // its end.
         let current = self.current.filter(|lease| lease.counts_at(now, terms));
         current
             .iter()
@@ -140,7 +142,7 @@
             .unwrap_or(0)
     }
 
-    /// Takes in a grant; returns whether it was accepted.
+    /// Handles a grant. Returns true if it was accepted.
     pub fn on_grant(
         &mut self,
         terms: &LeaseTerms,
@@ -155,7 +157,7 @@
             return false;
         };
         let ends_at = requested_at.saturating_add(terms.lease_duration);
-        // The grant may have waited, on its way or in a frozen process, for longer than the lease lasts.
+        // The grant may have been delayed, on the network or in a frozen process, for longer than the lease duration.
         if now >= ends_at {
             return false;
         }
@@ -163,9 +165,9 @@
         true
     }
 
-    /// Drops the lease: the group that granted it is fenced off, or this node stops using it.
+    /// Drops the lease, because the group that granted it is fenced or because this node stops using it.
     pub fn drop_lease(&mut self, now: Timestamp) {
-        // A grant that is on its way is no answer to the latest request any more.
+        // Grants in flight carry an earlier request number, so they are rejected.
         self.request_number += 1;
         self.replace_current(now, None);
     }
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -1,8 +1,8 @@
-//! Leases of the budget, as seen by both sides.
+//! Leases of the budget, for both holder and granter.
 //!
-//! The holder counts the duration of a lease from when it sent the request, the granter from when the grant was applied,
-//! which is later. The granter waits longer by the most that two clocks may differ, and by the accounting window, since
-//! what was sent just before the lease expired still counts. Neither side ever reads the other's clock.
+//! The holder measures the duration of a lease from the time of its request, the granter from the time when the grant
+//! was applied, which is later. The granter also waits for the maximum clock drift and for the accounting window,
+//! since usage just before the lease expired still counts. Neither side ever reads the other's clock.
 
 mod grant_clocks;
 mod holder;
--- a/crates/control/src/lease/terms.rs
+++ b/crates/control/src/lease/terms.rs
@@ -1,4 +1,4 @@
-//! What holders and granter of a lease agree on.
+//! The lease terms that holders and granters share, and the lease request.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -6,15 +6,15 @@
 /// The durations of leases, the same at all nodes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTerms {
-    /// How long a lease may be used, by the holder's clock, from its request on.
+    /// The time for which a lease may be used after its request, by the holder's clock.
     pub lease_duration: Duration,
-    /// The span over which the budget counts usage.
+    /// The time window over which the budget counts usage.
     pub accounting_window: Duration,
-    /// The most that any two clocks may differ, as a ratio of the elapsed time.
+    /// The maximum drift between any two clocks, as a ratio of the elapsed time.
     pub max_clock_drift: f64,
-    /// How often a holder renews its lease.
+    /// The interval at which a holder renews its lease.
     pub renew_interval: Duration,
-    /// How often a holder renews its lease while its usage is limited by it.
+    /// The interval at which a holder renews its lease while the lease limits its usage.
     pub renew_interval_under_pressure: Duration,
 }
 
@@ -31,12 +31,12 @@
 }
 
 impl LeaseTerms {
-    /// How long after a lease was given back its usage may still count, by the granter's clock.
+    /// The time after the release of a lease for which its usage may still count, by the granter's clock.
     pub fn usage_expiry(&self) -> Duration {
         self.accounting_window.mul_f64(1.0 + self.max_clock_drift)
     }
 
-    /// How long after a grant was applied its usage may still count, by the granter's clock.
+    /// The time after a grant was applied for which its usage may still count, by the granter's clock.
     pub fn safe_expiry(&self) -> Duration {
         (self.lease_duration + self.accounting_window).mul_f64(1.0 + self.max_clock_drift)
     }
@@ -47,8 +47,9 @@
 pub struct LeaseRequest {
     /// Increases with each request of the holder.
     pub request_number: u64,
-    /// The most units that may have been in use at any time within the accounting window before, and so still count.
+    /// The most units that may have been in use at any time within the preceding accounting window, and so still
+    /// count.
     pub in_use: u32,
-    /// The units that the holder needs, by its usage.
+    /// The units that the holder needs, estimated from its usage.
     pub demand: u32,
 }
--- a/crates/control/src/lease_client.rs
+++ b/crates/control/src/lease_client.rs
@@ -1,10 +1,10 @@
-//! The local node's own lease: its usage, its demand and the limit that was last reported.
+//! The local node's lease: usage, demand and the last reported limit.
 
 use crate::lease::{LeaseHolder, LeaseRequest, LeaseTerms, UsageLimit};
 use lupincrank_budgets::demand::{BudgetUsage, DemandEstimator};
 use lupincrank_placement::Timestamp;
 
-/// Requests the lease of the local node.
+/// Requests and tracks the lease of the local node.
 pub(crate) struct LeaseClient {
     terms: LeaseTerms,
     holder: LeaseHolder,
@@ -43,7 +43,7 @@
             return None;
         }
         let usage = std::mem::take(&mut self.usage);
-        // The floor is used first and needs no lease.
+        // The floor is used first and needs no lease, so it is subtracted from the demand.
         let demand = self
             .demand
             .update(usage)
@@ -56,18 +56,18 @@
             .on_grant(&self.terms, now, request_number, limit);
     }
 
-    /// Drops the lease: the group that granted it is fenced off, or this node takes no further part.
+    /// Drops the lease, because the group that granted it is fenced or because this node stops participating.
     pub(crate) fn drop_lease(&mut self, now: Timestamp) {
         self.holder.drop_lease(now);
     }
 
-    /// Gives back lease and floor for good.
+    /// Releases lease and floor permanently.
     pub(crate) fn retire(&mut self, now: Timestamp) {
         self.holder.retire(now);
     }
 
-    /// The limit, if it is another one than the last time that this was called.
-    pub(crate) fn changed_limit(&mut self, now: Timestamp) -> Option<UsageLimit> {
+    /// Returns the limit if it has changed since the last call.
+    pub(crate) fn take_limit_change(&mut self, now: Timestamp) -> Option<UsageLimit> {
         let usage_limit = self.holder.limit(now);
         if usage_limit.limit == self.reported_limit {
             return None;
--- a/crates/control/src/lease_granter.rs
+++ b/crates/control/src/lease_granter.rs
@@ -1,4 +1,4 @@
-//! The leader's side of leases: collects requests and grants them in batches.
+//! The leader's side of leases: collects requests and answers them with batches of grants.
 
 use crate::entry::{Entry, Grant, GrantId};
 use crate::lease::{LeaseRequest, LeaseTerms};
@@ -11,29 +11,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long the same holders have priority for the indivisible remainder.
+/// The time for which the same holders have priority for the indivisible remainder.
 const ROTATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the granter decides on besides the requests.
+/// The input of the granter's decisions besides the requests.
 pub(crate) struct GrantContext<'a> {
     pub(crate) now: Timestamp,
     pub(crate) terms: &'a LeaseTerms,
-    /// The members that are alive as membership sees it.
-    pub(crate) alive: &'a BTreeMap<MemberId, Member>,
+    /// The members that gossip membership reports as live.
+    pub(crate) live_members: &'a BTreeMap<MemberId, Member>,
     pub(crate) tracker: &'a MemberTracker,
 }
 
 /// Requests and demands of the current leadership.
 #[derive(Default)]
 pub(crate) struct LeaseGranter {
-    /// The latest request of each member that is not answered yet.
+    /// The latest unanswered request of each member.
     pending_requests: BTreeMap<MemberId, LeaseRequest>,
     /// The demand in each member's latest request.
     demands: BTreeMap<MemberId, u32>,
 }
 
 impl LeaseGranter {
-    /// Takes in a request. Only those of members are kept, which bounds the tables by the size of the fleet.
+    /// Handles a request. Only requests of members are kept, which bounds the maps by the size of the fleet.
     pub(crate) fn on_request(&mut self, log: &RaftLog, from: MemberId, request: LeaseRequest) {
         if log.is_leader() && log.state().members.contains_key(&from) {
             self.pending_requests.insert(from, request);
@@ -41,18 +41,18 @@
         }
     }
 
-    /// Forgets the demands of those that are no members any more.
+    /// Drops the demands of nodes that are not members.
     pub(crate) fn retain_members(&mut self, members: &BTreeMap<MemberId, Member>) {
         self.demands.retain(|id, _| members.contains_key(id));
     }
 
-    /// Forgets all requests: leadership has changed, and holders repeat them to the new leader.
+    /// Drops all requests and demands: leadership has changed, and holders repeat their requests to the new leader.
     pub(crate) fn clear(&mut self) {
         self.pending_requests.clear();
         self.demands.clear();
     }
 
-    /// The limit that each member would get out of this capacity.
+    /// Divides `capacity` into a limit for each live member that is not leaving.
     pub(crate) fn divide_capacity(
         &self,
         state: &ClusterState,
@@ -63,7 +63,7 @@
             .members
             .keys()
             .copied()
-            .filter(|id| context.alive.contains_key(id) && !context.tracker.is_leaving(*id))
+            .filter(|id| context.live_members.contains_key(id) && !context.tracker.is_leaving(*id))
             .collect();
         let claims: Vec<Claim> = holders.iter().map(|id| self.claim(state, *id)).collect();
         let limits = divide(capacity, &claims, rotation(context.now, holders.len()));
@@ -72,7 +72,7 @@
 
     fn claim(&self, state: &ClusterState, holder: MemberId) -> Claim {
         let current_limit = state.leases.get(&holder).map_or(0, |lease| lease.limit);
-        // A holder that has not sent this leader a request yet is taken to need what it has.
+        // If this leader has not received a request of the holder yet, the demand is assumed to be the current limit.
         let demand = self.demands.get(&holder).copied().unwrap_or(current_limit);
         Claim {
             demand,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Proposes to expire leases that have run out, and to grant what was requested.
+    /// Proposes to remove expired leases and to grant pending requests.
     pub(crate) fn propose(&mut self, log: &mut RaftLog, context: &GrantContext) {
         let expired = expired_leases(log, context);
         if !expired.is_empty() {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Answers all pending requests; those of members that are leaving or unreachable are dropped.
+    /// Takes all pending requests and returns their grants. Requests of leaving or unreachable members are dropped.
     fn take_grants(&mut self, state: &ClusterState, context: &GrantContext) -> Vec<Grant> {
         let limits = self.divide_capacity(state, state.capacity, context);
         std::mem::take(&mut self.pending_requests)
@@ -109,7 +109,7 @@
     }
 }
 
-/// The leases whose usage does not count any more: those that ran out, and those that leaving members have given back.
+/// The leases whose usage does not count any more: those that expired, and those that leaving members have released.
 fn expired_leases(log: &RaftLog, context: &GrantContext) -> Vec<GrantId> {
     let mut expired = log
         .grant_clocks()
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
 //! The control group of a fleet, without I/O: a replicated log of members and budget leases.
 //!
-//! Time, messages and the members that are alive come in, messages and writes go out. The few facts that all nodes must
-//! agree on are [`entry`]s of a log that the `raft` crate replicates; applied in order they lead to one [`state`].
-//! [`ControlNode`] drives it.
+//! [`ControlNode`] receives time, messages and the set of live members, and returns messages and writes. The few
+//! facts that all nodes must agree on are [`entry`]s of a log that the `raft` crate replicates. Applied in order,
+//! they yield the replicated [`state`].
 //!
-//! Machines lose their disks, so a vote lasts no longer than the process that gave it, unless stable storage is
-//! configured ([`durable`]). Each incarnation of a node therefore has an identity of its own ([`member`]), and a new one
-//! is added only after the old one of its name is removed. [`lease`] has both sides of a lease, holder and granter.
+//! Machines may lose their disks, so a vote lasts only as long as the process that cast it, unless stable storage is
+//! configured ([`durable`]). Each incarnation of a node therefore has its own identity ([`member`]), and a new
+//! incarnation is added only after the old one of the same name is removed. [`lease`] implements both sides of a
+//! lease, holder and granter.
 
 #![forbid(unsafe_code)]
 
--- a/crates/control/src/member_tracker.rs
+++ b/crates/control/src/member_tracker.rs
@@ -1,4 +1,4 @@
-//! What a node remembers of other members: since when they are unreachable, and which are shutting down.
+//! Tracks which other members are unreachable, and since when, and which are shutting down.
 
 use crate::member::{Member, MemberId};
 use crate::membership::{GroupConfiguration, Liveness, MemberObservation};
@@ -7,35 +7,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members that are unreachable or shutting down.
+/// Tracks members that are unreachable or shutting down.
 #[derive(Default)]
 pub(crate) struct MemberTracker {
-    /// Members of the group that are not alive, and since when; only kept by a leader.
+    /// Members of the group that are not live, and the time since which they have not been. Only maintained by a
+    /// leader.
     unreachable_since: BTreeMap<MemberId, Timestamp>,
     departures: BTreeMap<MemberId, Departure>,
 }
 
 /// A graceful shutdown of a member.
 struct Departure {
-    /// The member uses no lease since then, by this node's clock.
+    /// The time of the announcement, by this node's clock. The member has used no lease since then.
     announced_at: Timestamp,
-    /// Whether membership has seen its end. If the member is alive again after that, another process goes on as the same
-    /// incarnation.
+    /// Whether gossip membership has reported the member as unreachable since the announcement. If the member is live
+    /// again after that, another process has resumed the same incarnation.
     was_unreachable: bool,
 }
 
-/// The local node's view, which observations start from.
+/// The local node's view, the input of observations.
 pub(crate) struct LocalView<'a> {
     pub(crate) now: Timestamp,
     pub(crate) local_id: MemberId,
     pub(crate) is_shutting_down: bool,
-    /// The members that are alive as membership sees it.
-    pub(crate) alive: &'a BTreeMap<MemberId, Member>,
+    /// The members that gossip membership reports as live.
+    pub(crate) live_members: &'a BTreeMap<MemberId, Member>,
     pub(crate) removal_delay: Duration,
 }
 
 impl MemberTracker {
-    /// A member shuts down and uses no lease from now on. Every node remembers it, since any may become leader.
+    /// Records that a member is shutting down and uses no lease from now on. Every node records it, since any may
+    /// become leader.
     pub(crate) fn on_leaving(&mut self, now: Timestamp, from: MemberId) {
         self.departures.entry(from).or_insert(Departure {
             announced_at: now,
@@ -47,49 +49,52 @@
         self.departures.contains_key(&id)
     }
 
-    /// The members that have been leaving, and so used no lease, for at least this long.
+    /// The members that have been leaving, and so have used no lease, for at least this duration.
     pub(crate) fn leaving_for_at_least(
         &self,
         now: Timestamp,
-        span: Duration,
+        min_duration: Duration,
     ) -> impl Iterator<Item = MemberId> + '_ {
         self.departures
             .iter()
             .filter(move |(_, departure)| {
-                now.saturating_duration_since(departure.announced_at) >= span
+                now.saturating_duration_since(departure.announced_at) >= min_duration
             })
             .map(|(id, _)| *id)
     }
 
-    /// Forgets departures that are complete: the member was removed, or is back.
+    /// Drops departures that are complete: the member was removed, or is live again.
     pub(crate) fn update_departures(
         &mut self,
-        alive: &BTreeMap<MemberId, Member>,
+        live_members: &BTreeMap<MemberId, Member>,
         members: &BTreeMap<MemberId, Member>,
     ) {
         self.departures.retain(|id, departure| {
-            let is_alive = alive.contains_key(id);
-            let is_back = departure.was_unreachable && is_alive;
-            departure.was_unreachable |= !is_alive;
-            !is_back && (is_alive || members.contains_key(id))
+            let is_live = live_members.contains_key(id);
+            let is_live_again = departure.was_unreachable && is_live;
+            departure.was_unreachable |= !is_live;
+            !is_live_again && (is_live || members.contains_key(id))
         });
     }
 
-    /// Notes which members of the group are unreachable.
+    /// Records which members of the group are unreachable.
     pub(crate) fn update_unreachable(
         &mut self,
         now: Timestamp,
         configuration: &GroupConfiguration,
-        alive: &BTreeMap<MemberId, Member>,
+        live_members: &BTreeMap<MemberId, Member>,
     ) {
         self.unreachable_since
-            .retain(|id, _| !alive.contains_key(id) && configuration.contains(*id));
-        for id in configuration.all().filter(|id| !alive.contains_key(id)) {
+            .retain(|id, _| !live_members.contains_key(id) && configuration.contains(*id));
+        for id in configuration
+            .all()
+            .filter(|id| !live_members.contains_key(id))
+        {
             self.unreachable_since.entry(id).or_insert(now);
         }
     }
 
-    /// What the leader has observed of a member.
+    /// The leader's observation of a member.
     pub(crate) fn observe(
         &self,
         id: MemberId,
@@ -108,18 +113,19 @@
     fn liveness(&self, id: MemberId, log: &RaftLog, local: &LocalView) -> Liveness {
         let is_local = id == local.local_id;
         let is_leaving = (is_local && local.is_shutting_down) || self.is_leaving(id);
-        let is_alive = is_local || local.alive.contains_key(&id);
-        // Membership does not list a leaving incarnation that was replaced, but its vote may still be needed.
-        if is_leaving && (is_alive || log.is_responsive(id)) {
+        let is_live = is_local || local.live_members.contains_key(&id);
+        // Gossip membership does not list a leaving incarnation that was replaced, but its vote may still be needed.
+        if is_leaving && (is_live || log.is_responsive(id)) {
             Liveness::Leaving
-        } else if is_alive {
-            Liveness::Alive
+        } else if is_live {
+            Liveness::Live
         } else {
             Liveness::Unreachable
         }
     }
 
-    /// An unreachable member is removed after a delay, one that was leaving at once.
+    /// Returns true if the member is unreachable and its removal delay has passed. A leaving member has no removal
+    /// delay.
     fn is_removal_due(&self, id: MemberId, local: &LocalView) -> bool {
         let Some(since) = self.unreachable_since.get(&id) else {
             return false;
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,6 +1,6 @@
-//! Which members of the control group vote, and the next change of its configuration.
+//! Chooses the next change of the control group's configuration: which members belong to it, and which of them vote.
 //!
-//! Changes are made one at a time: Raft accepts none before the one before it is applied.
+//! Changes are made one at a time: Raft rejects a change until the previous one is applied.
 
 use crate::member::{Member, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 pub enum MembershipChange {
     /// Removes an incarnation.
     Remove(MemberId),
-    /// Adds an incarnation that receives the log and has no vote.
+    /// Adds an incarnation that receives the log but has no vote.
     AddLearner(Member),
     /// Gives a learner a vote.
     Promote(MemberId),
@@ -36,43 +36,45 @@
     }
 }
 
-/// Whether a member can be relied on.
+/// The leader's view of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Liveness {
-    Alive,
-    /// Alive, but shutting down.
+    Live,
+    /// Live, but shutting down.
     Leaving,
     Unreachable,
 }
 
-/// What the leader has observed of one member.
+/// The leader's observation of one member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemberObservation {
     pub(crate) liveness: Liveness,
-    /// Unreachable for long enough to be removed.
+    /// Whether the member has been unreachable for long enough to be removed.
     pub(crate) is_removal_due: bool,
-    /// Has nearly all of the log: promoting one that has not makes a majority that can't commit.
+    /// Whether the member has nearly all of the log. Promoting a learner that lags behind could form a majority that
+    /// can't commit.
     pub(crate) is_caught_up: bool,
-    /// Is the leader, or has answered it lately.
+    /// Whether the member is the leader, or has answered the leader recently.
     pub(crate) is_responsive: bool,
 }
 
-/// What the next change is decided on.
+/// The input for choosing the next change.
 pub(crate) struct MembershipView<'a> {
-    /// The leader, which decides. It is neither removed nor demoted: there would be no leader to make the next change.
+    /// The leader, which chooses the change. It is neither removed nor demoted, since no leader would be left to make
+    /// the next change.
     pub(crate) leader: MemberId,
     pub(crate) configuration: &'a GroupConfiguration,
-    /// The members as the replicated state has them.
+    /// The members in the replicated state.
     pub(crate) members: &'a BTreeMap<MemberId, Member>,
-    /// The members that are alive as membership sees it.
-    pub(crate) alive: &'a BTreeMap<MemberId, Member>,
-    /// Of all that are in the configuration or alive.
+    /// The members that gossip membership reports as live.
+    pub(crate) live_members: &'a BTreeMap<MemberId, Member>,
+    /// Observations of all members that are in the configuration or live.
     pub(crate) observations: &'a BTreeMap<MemberId, MemberObservation>,
 }
 
-/// The number of votes that a group with so many reliable members should have.
-fn target_voter_count(alive_count: usize) -> usize {
-    match alive_count {
+/// The number of voters for a group with this number of reliable members.
+fn target_voter_count(reliable_count: usize) -> usize {
+    match reliable_count {
         0..=2 => 1,
         3..=4 => 3,
         _ => 5,
@@ -80,15 +82,17 @@
 }
 
 impl MembershipView<'_> {
-    /// The next change, if one is due.
+    /// Returns the next change, if one is due.
     ///
-    /// Each step comes after those that make a majority easier to reach: unreachable voters go first. An incarnation is
-    /// added only once no other incarnation of its name is in the configuration, which keeps their votes apart.
+    /// Changes that make a majority easier to reach come first, so unreachable voters are removed first. An
+    /// incarnation is added only once no other incarnation of its name is in the configuration, so that a node never
+    /// has two votes.
     pub(crate) fn next_change(&self) -> Option<MembershipChange> {
         self.remove_unreachable()
             .or_else(|| self.add_learner())
             .or_else(|| self.promote())
-            // A leaving member that still answers helps to give its own vote to another, so it is removed after that.
+            // A leaving member that still answers counts towards the quorum that promotes its replacement, so it is
+            // removed after that.
             .or_else(|| self.remove_leaving())
             .or_else(|| self.demote_surplus())
             .or_else(|| self.demote_for_zone_balance())
@@ -115,7 +119,7 @@
             .filter_map(|id| self.members.get(&id))
             .map(|member| member.name.as_str())
             .collect();
-        self.alive
+        self.live_members
             .values()
             .find(|member| {
                 !self.configuration.contains(member.id)
@@ -134,7 +138,7 @@
                 .get(&id)
                 .is_some_and(|observation| observation.is_caught_up)
         };
-        // The zone with the fewest votes first, then by name: every leader would choose the same.
+        // Ordered by the number of votes in the zone, then by name, so that every leader chooses the same learner.
         let candidate = self
             .reliable_learners()
             .filter(|id| is_caught_up(*id))
@@ -163,7 +167,8 @@
             .map(MembershipChange::Demote)
     }
 
-    /// A zone without a vote gets one from the zone that has the most, which must keep one.
+    /// Demotes a voter in the zone with the most votes if another zone has learners but no vote, so that a learner
+    /// there can be promoted. The zone of the demoted voter must keep at least one vote.
     fn demote_for_zone_balance(&self) -> Option<MembershipChange> {
         if !self.are_all_voters_reliable() || self.target_voter_count() <= 1 {
             return None;
@@ -187,7 +192,7 @@
     }
 
     fn is_reliable(&self, id: MemberId) -> bool {
-        self.liveness(id) == Liveness::Alive
+        self.liveness(id) == Liveness::Live
     }
 
     fn reliable_voters(&self) -> impl Iterator<Item = MemberId> + '_ {
@@ -227,14 +232,15 @@
             .count()
     }
 
-    /// Whether the group can go on without this member's vote.
+    /// Returns true if the group can still commit without this member's vote.
     fn is_removable(&self, id: MemberId) -> bool {
         let others = self.configuration.voters.iter().copied();
         id != self.leader && self.has_responsive_majority(others.filter(|other| *other != id))
     }
 
-    /// Whether the responsive ones are a majority of these voters. A change must not leave a group that can't commit the
-    /// next one: a leaving member is removed while another has just died and membership does not know it yet.
+    /// Returns true if the responsive members are a majority of these voters. A change must not leave a group that
+    /// can't commit the next one, for example if a leaving member is removed just after another member failed, which
+    /// gossip membership has not detected yet.
     fn has_responsive_majority(&self, voters: impl Iterator<Item = MemberId>) -> bool {
         let voters: Vec<MemberId> = voters.collect();
         let is_responsive = |id: &&MemberId| {
--- a/crates/control/src/membership/tests.rs
+++ b/crates/control/src/membership/tests.rs
@@ -3,11 +3,12 @@
 
 const LEADER: MemberId = 1;
 
-/// A group whose leader is member 1. Members are named by their ids, and alive, caught up and responsive.
+/// A group whose leader is member 1. By default, members are named by their ids and are live, caught up and
+/// responsive.
 struct Group {
     configuration: GroupConfiguration,
     members: BTreeMap<MemberId, Member>,
-    alive: BTreeMap<MemberId, Member>,
+    live_members: BTreeMap<MemberId, Member>,
     observations: BTreeMap<MemberId, MemberObservation>,
 }
 
@@ -19,26 +20,26 @@
                 learners: learners.iter().copied().collect(),
             },
             members: BTreeMap::new(),
-            alive: BTreeMap::new(),
+            live_members: BTreeMap::new(),
             observations: BTreeMap::new(),
         };
         for id in group.configuration.all().collect::<Vec<_>>() {
             let member = member(id, &format!("n{id}"), "z1");
             group.members.insert(id, member.clone());
-            group = group.with_alive(member);
+            group = group.with_live_member(member);
         }
         group
     }
 
-    fn with_alive(mut self, member: Member) -> Group {
+    fn with_live_member(mut self, member: Member) -> Group {
         let observation = MemberObservation {
-            liveness: Liveness::Alive,
+            liveness: Liveness::Live,
             is_removal_due: false,
             is_caught_up: true,
             is_responsive: true,
         };
         self.observations.insert(member.id, observation);
-        self.alive.insert(member.id, member);
+        self.live_members.insert(member.id, member);
         self
     }
 
@@ -52,7 +53,7 @@
         self
     }
 
-    fn with_dead(self, id: MemberId) -> Group {
+    fn with_unreachable(self, id: MemberId) -> Group {
         self.observe(id, |observation| {
             observation.liveness = Liveness::Unreachable;
             observation.is_removal_due = true;
@@ -69,7 +70,7 @@
             leader: LEADER,
             configuration: &self.configuration,
             members: &self.members,
-            alive: &self.alive,
+            live_members: &self.live_members,
             observations: &self.observations,
         };
         view.next_change()
@@ -88,31 +89,31 @@
 
 #[rstest]
 #[case::nothing_is_due(Group::new(&[1, 2, 3], &[]), None)]
-#[case::a_dead_voter_is_removed(
-    Group::new(&[1, 2, 3], &[]).with_dead(2),
+#[case::an_unreachable_voter_is_removed(
+    Group::new(&[1, 2, 3], &[]).with_unreachable(2),
     Some(MembershipChange::Remove(2))
 )]
-#[case::a_dead_voter_stays_until_its_removal_is_due(
+#[case::an_unreachable_voter_stays_until_its_removal_is_due(
     Group::new(&[1, 2, 3], &[])
-        .with_dead(2)
+        .with_unreachable(2)
         .observe(2, |observation| observation.is_removal_due = false),
     None
 )]
-#[case::a_dead_voter_stays_while_the_others_are_no_majority(
-    Group::new(&[1, 2, 3], &[]).with_dead(2).observe(3, |observation| observation.is_responsive = false),
+#[case::an_unreachable_voter_stays_while_the_others_have_no_majority(
+    Group::new(&[1, 2, 3], &[]).with_unreachable(2).observe(3, |observation| observation.is_responsive = false),
     None
 )]
 #[case::a_new_member_becomes_a_learner(
-    Group::new(&[1], &[]).with_alive(member(7, "n7", "z1")),
+    Group::new(&[1], &[]).with_live_member(member(7, "n7", "z1")),
     Some(MembershipChange::AddLearner(member(7, "n7", "z1")))
 )]
 #[case::a_new_incarnation_waits_until_the_old_one_is_removed(
     Group::new(&[1, 2, 3], &[])
         .observe(2, |observation| observation.liveness = Liveness::Unreachable)
-        .with_alive(member(7, "n2", "z1")),
+        .with_live_member(member(7, "n2", "z1")),
     None
 )]
-#[case::a_learner_is_promoted_where_votes_are_missing(
+#[case::a_learner_is_promoted_if_there_are_too_few_voters(
     Group::new(&[1], &[2, 3]),
     Some(MembershipChange::Promote(2))
 )]
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between control nodes, and the actions that a control node wants carried out.
+//! Messages between control nodes, and the actions that a control node returns to its caller.
 
 use crate::durable::LogWrite;
 use crate::lease::LeaseRequest;
@@ -6,38 +6,39 @@
 use crate::membership::MembershipChange;
 use serde::{Deserialize, Serialize};
 
-/// A message between control nodes. The order of variants and fields is the encoding: append only.
+/// A message between control nodes. The encoding depends on the order of variants and fields, so new ones may only be
+/// appended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// Asks which control group the receiver has joined.
+    /// Queries which control group the receiver has joined.
     ClusterQuery,
     /// The control group that the sender has joined, if any.
     KnownCluster(Option<ClusterId>),
     /// Announces a new control group.
     Bootstrap(Bootstrap),
-    /// A Raft message as protobuf.
+    /// A Raft message, encoded as protobuf.
     Raft(ClusterId, Vec<u8>),
-    /// Asks the leader for a lease.
+    /// Requests a lease from the leader.
     LeaseRequest(ClusterId, LeaseRequest),
     /// The leader grants a lease.
     LeaseGranted {
         /// The group that the leader leads.
         cluster_id: ClusterId,
-        /// The number of the request that is granted.
+        /// The number of the granted request.
         request_number: u64,
         /// The units that the holder may use.
         limit: u32,
     },
-    /// The sender shuts down gracefully and has stopped using its lease.
+    /// The sender is shutting down gracefully and has stopped using its lease.
     Leaving(ClusterId),
-    /// The leader tells a member that is leaving that it is no longer part of the group.
+    /// The leader confirms to a leaving member that the member has been removed from the group.
     Removed(ClusterId),
-    /// Asks the leader for another capacity of the budget.
+    /// Requests that the leader change the capacity of the budget.
     Capacity(ClusterId, u32),
 }
 
 impl ControlMessage {
-    /// The group whose members alone may act on the message; `None` for those that are for any node.
+    /// The group that the message is restricted to; `None` if any node may process the message.
     pub(crate) fn cluster_id(&self) -> Option<ClusterId> {
         match self {
             ControlMessage::ClusterQuery
@@ -56,26 +57,26 @@
 /// An event for the program's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// This node bootstraps a control group.
+    /// This node is bootstrapping a control group.
     Bootstrapping(ClusterId),
     /// This node has joined a control group.
     JoinedCluster(ClusterId),
     /// The known leader changed; `None` if there is none.
     LeaderChanged(Option<MemberId>),
-    /// This node, as leader, proposed a change of the membership.
+    /// This node, as leader, proposed a membership change.
     ChangingMembership(MembershipChange),
     /// The units that this node may use have changed.
     LeaseLimitChanged(u32),
-    /// The lease of this node has expired, or was given back or revoked.
+    /// The lease of this node has expired, was released, or was revoked.
     LeaseExpired,
-    /// The log is inconsistent: this incarnation takes no further part.
+    /// The log is inconsistent or stable storage was lost: this incarnation has stopped participating.
     LogInconsistent,
 }
 
-/// What a control node wants carried out, in order.
+/// An action for the caller of a control node. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message. It may get lost.
+    /// Send a message. Delivery is not guaranteed.
     Send {
         /// The receiver.
         to: MemberId,
--- a/crates/control/src/raft_log/apply.rs
+++ b/crates/control/src/raft_log/apply.rs
@@ -8,7 +8,7 @@
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfState, Entry as RaftEntry, EntryType};
 
-/// The name that is printed for an expected node that was never present.
+/// The printed name of an expected node that was never present.
 const ABSENT_NAME: &str = "(expected)";
 
 impl RaftLog {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// A new incarnation starts from a snapshot, and accepts none whose configuration does not include it.
+    /// Replaces the snapshot after a configuration change. A new incarnation starts from a snapshot, and rejects one
+    /// whose configuration does not include it.
     fn refresh_snapshot(&self, entry: &RaftEntry, configuration: ConfState) {
         if let Ok(data) = postcard::to_stdvec(&self.state) {
             self.storage
@@ -69,7 +70,7 @@
         }
     }
 
-    /// A new leader's empty entry can't be decoded and changes nothing.
+    /// Applies a change of the replicated state. The empty entry of a new leader can't be decoded and is ignored.
     fn apply_state_change(&mut self, entry: &RaftEntry, actions: &mut Vec<Action>) {
         let Ok(change) = postcard::from_bytes::<Entry>(entry.get_data()) else {
             return;
--- a/crates/control/src/raft_log/configuration.rs
+++ b/crates/control/src/raft_log/configuration.rs
@@ -1,4 +1,4 @@
-//! The group's configuration, and what the leader knows of the other members' progress.
+//! The group's configuration, and the leader's view of the other members' progress.
 
 use super::RaftLog;
 use crate::member::MemberId;
@@ -6,7 +6,7 @@
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfState};
 use raft::{Progress, ProgressState, SnapshotStatus};
 
-/// A member has caught up once it has all but so many entries.
+/// A member has caught up once it lags behind by at most this number of entries.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 
 impl RaftLog {
@@ -27,7 +27,7 @@
         self.raw_node.raft.prs().get(id)
     }
 
-    /// Whether the member has nearly all of the log; only a leader knows it.
+    /// Returns true if the member has nearly all of the log. Only meaningful on the leader.
     pub(crate) fn is_caught_up(&self, id: MemberId) -> bool {
         let last_index = self.raw_node.raft.raft_log.last_index();
         self.progress(id).is_some_and(|progress| {
@@ -35,25 +35,27 @@
         })
     }
 
-    /// Whether the member has answered this leader lately. Raft's messages show a failure sooner than membership does.
+    /// Returns true if the member has answered this leader recently. Raft messages reveal a failure sooner than
+    /// gossip membership.
     pub(crate) fn is_responsive(&self, id: MemberId) -> bool {
         self.progress(id)
             .is_some_and(|progress| progress.recent_active)
     }
 
-    /// Whether a change of the configuration is not applied yet.
+    /// Returns true if a configuration change is not applied yet.
     pub(crate) fn has_pending_change(&self) -> bool {
         self.raw_node.raft.has_pending_conf()
     }
 
-    /// Proposes a change of the configuration; returns whether Raft accepted the proposal.
+    /// Proposes a configuration change. Returns true if Raft accepted the proposal.
     pub(crate) fn propose_change(&mut self, change: &MembershipChange) -> bool {
         self.raw_node
             .propose_conf_change(Vec::new(), raft_change(change))
             .is_ok()
     }
 
-    /// Sends snapshots again that were not acknowledged: messages get lost, and Raft waits without end for the answer.
+    /// Resends snapshots that were not acknowledged. The snapshot or its acknowledgement may be lost, and Raft would
+    /// then wait forever.
     pub(crate) fn resend_snapshots(&mut self) {
         let awaits_snapshot = |id: &MemberId| {
             self.progress(*id)
--- a/crates/control/src/raft_log/mod.rs
+++ b/crates/control/src/raft_log/mod.rs
@@ -23,29 +23,30 @@
 use raft::{Config, RawNode};
 use std::collections::VecDeque;
 
-/// Ticks without a leader after which a voter starts an election; up to twice that, drawn anew each time.
+/// The minimum number of ticks without a leader after which a voter starts an election. The actual number is
+/// randomized for each election, up to twice the minimum.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between two heartbeats of a leader.
+/// The number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
 /// The number of entries that are kept for the printed log.
 const MAX_LOG_LINES: usize = 200;
 /// The most bytes of entries in one Raft message.
 const MAX_MESSAGE_BYTES: u64 = 64 << 10;
-/// The most Raft messages that are on their way to one member.
+/// The most Raft messages in flight to one member.
 const MAX_IN_FLIGHT_MESSAGES: usize = 64;
-/// What Raft takes for "no leader".
+/// The id that the Raft library uses for "no leader".
 const NO_LEADER: MemberId = 0;
 
-/// An error of the Raft library or of an encoding: the log is inconsistent and can't be relied on.
+/// An error of the Raft library or of an encoding: the log is inconsistent and must not be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LogError {
-    /// Of the Raft library.
+    /// An error of the Raft library.
     #[error("raft: {0}")]
     Raft(#[from] raft::Error),
-    /// Of a protobuf message.
+    /// A protobuf message that can't be decoded.
     #[error("protobuf: {0}")]
     Protobuf(#[from] protobuf::ProtobufError),
-    /// Of a snapshot's content.
+    /// A snapshot whose content can't be decoded.
     #[error("snapshot: {0}")]
     Snapshot(#[from] postcard::Error),
     /// Stored entries are not consecutive.
@@ -53,39 +54,39 @@
     MissingEntry,
 }
 
-/// One member's copy of the replicated log, and the state that its applied entries lead to.
+/// One member's copy of the replicated log, and the state that results from its applied entries.
 pub(crate) struct RaftLog {
     cluster_id: ClusterId,
     raw_node: RawNode<LogStorage>,
     storage: LogStorage,
     state: ClusterState,
     grant_clocks: GrantClocks,
-    /// Since when this member is the leader.
+    /// The time since which this member has been the leader.
     leader_since: Option<Timestamp>,
     leader: Option<MemberId>,
     applied_index: u64,
-    /// The last entry of the latest snapshot that was taken or received.
+    /// The index of the last entry in the latest snapshot, taken or received.
     snapshot_index: u64,
     log_lines: VecDeque<LogLine>,
     write_queue: WriteQueue,
 }
 
-/// What a log is started with.
+/// The input for starting a log.
 pub(crate) struct RaftLogStart {
     pub(crate) local_id: MemberId,
     pub(crate) cluster_id: ClusterId,
     pub(crate) storage: LogStorage,
     /// The state of the snapshot in `storage`.
     pub(crate) state: ClusterState,
-    /// The log of the group that the member was in before: its lines stay, and writes are numbered on.
+    /// The log of the member's previous group. Its log lines are kept, and the numbering of writes continues.
     pub(crate) former: Option<Box<RaftLog>>,
     pub(crate) durability: Durability,
 }
 
 impl RaftLog {
-    /// Takes part in a group from the content of the storage on.
+    /// Starts participating in a group from the content of the storage.
     pub(crate) fn start(start: RaftLogStart) -> Result<RaftLog, LogError> {
-        // Later entries than the snapshot's are applied when Raft reports them as committed again.
+        // Entries after the snapshot are applied when Raft reports them as committed again.
         let applied_index = start.storage.snapshot_index();
         let config = raft_config(start.local_id, applied_index);
         let discard = slog::Logger::root(slog::Discard, slog::o!());
@@ -110,8 +111,9 @@
         })
     }
 
-    /// Stores that the member joins the group: nothing of another group may be stored when it votes.
-    pub(crate) fn write_start(&mut self, actions: &mut Vec<Action>) {
+    /// Writes to stable storage that the member joins the group. State of another group must be deleted before the
+    /// member votes.
+    pub(crate) fn write_join(&mut self, actions: &mut Vec<Action>) {
         let write = LogWrite {
             starts_cluster: Some(self.cluster_id),
             snapshot: self.storage.stored_snapshot(),
@@ -120,7 +122,7 @@
         self.write_queue.push_write(write, actions);
     }
 
-    /// All writes up to this one are completed. Those of a former group have lower numbers.
+    /// Records that all writes up to this one are completed. Writes of a previous group have lower numbers.
     pub(crate) fn on_write_completed(&mut self, sequence: u64) {
         self.write_queue.on_completed(sequence);
     }
@@ -137,7 +139,7 @@
         &self.grant_clocks
     }
 
-    /// Since when this member is the leader.
+    /// The time since which this member has been the leader.
     pub(crate) fn leader_since(&self) -> Option<Timestamp> {
         self.leader_since
     }
@@ -167,33 +169,33 @@
         self.raw_node.tick();
     }
 
-    /// Takes in a message; returns whether it was accepted.
+    /// Handles a Raft message. Returns true if Raft accepted it.
     pub(crate) fn step(&mut self, message: RaftMessage) -> bool {
-        // Raft panics on a commit index beyond the log.
+        // The Raft library panics if the commit index of a heartbeat is beyond the end of the log.
         let is_beyond_log = message.get_msg_type() == MessageType::MsgHeartbeat
             && message.commit > self.raw_node.raft.raft_log.last_index();
         !is_beyond_log && self.raw_node.step(message).is_ok()
     }
 
-    /// Decodes a message, if it is from this sender to this member.
+    /// Decodes a message. Returns `None` unless it is from this sender to this member.
     pub(crate) fn decode_message(
         bytes: &[u8],
         local_id: MemberId,
         from: MemberId,
     ) -> Option<RaftMessage> {
         let message = RaftMessage::parse_from_bytes(bytes).ok()?;
-        // Local messages are signals of Raft to itself.
+        // Local messages are signals of the Raft library to itself and are never sent between members.
         let is_remote = !raft::raw_node::is_local_msg(message.get_msg_type());
         (message.to == local_id && message.from == from && is_remote).then_some(message)
     }
 
-    /// Starts to hand leadership over.
+    /// Starts a leadership transfer.
     pub(crate) fn transfer_leadership(&mut self, successor: MemberId) {
         self.raw_node.transfer_leader(successor);
     }
 
-    /// Proposes an entry. A dropped proposal needs no answer: holders repeat their requests, and what has expired stays
-    /// expired.
+    /// Proposes an entry. A dropped proposal is not reported: holders repeat their requests, and expired leases are
+    /// proposed again.
     pub(crate) fn propose(&mut self, entry: &Entry) {
         if let Ok(bytes) = postcard::to_stdvec(entry) {
             let _ = self.raw_node.propose(Vec::new(), bytes);
--- a/crates/control/src/raft_log/persistence.rs
+++ b/crates/control/src/raft_log/persistence.rs
@@ -1,30 +1,30 @@
-//! Writes to stable storage, and the Raft messages that wait for them.
+//! Writes to stable storage, and the Raft messages that must wait for them.
 
 use crate::durable::LogWrite;
 use crate::message::Action;
 use raft::eraftpb::Message as RaftMessage;
 use std::collections::VecDeque;
 
-/// Whether the log is written to stable storage.
+/// The durability of the log: in memory only, or written to stable storage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Durability {
     Volatile,
     Persistent,
 }
 
-/// A `Ready` of Raft that was carried out but for what waits for its write.
+/// A `Ready` of Raft that is processed except for the steps that wait for its write.
 pub(super) struct PendingReady {
-    /// The last write that it waits for.
+    /// The last write that this `Ready` waits for.
     pub(super) write_sequence: u64,
-    /// Raft's number of it.
+    /// The number of this `Ready` in the Raft library.
     pub(super) ready_number: u64,
-    /// The last entry of the snapshot that it restored.
+    /// The index of the last entry in the restored snapshot, if there was one.
     pub(super) restored_index: Option<u64>,
-    /// Messages that may be sent once the write is completed.
+    /// Messages that must not be sent before the write is completed.
     pub(super) messages: Vec<RaftMessage>,
 }
 
-/// Numbers writes, and holds back what waits for them.
+/// Numbers writes, and holds back messages until their writes are completed.
 pub(super) struct WriteQueue {
     durability: Durability,
     issued_sequence: u64,
@@ -33,7 +33,7 @@
 }
 
 impl WriteQueue {
-    /// An empty queue. Its writes are numbered on from those of the member's former log.
+    /// Creates an empty queue. The numbering of writes continues from the member's previous log.
     pub(super) fn new(durability: Durability, former: Option<&WriteQueue>) -> WriteQueue {
         let issued_sequence = former.map_or(0, |former| former.issued_sequence);
         WriteQueue {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Issues a write, if the log is persistent.
+    /// Issues a write if the log is persistent.
     pub(super) fn push_write(&mut self, write: LogWrite, actions: &mut Vec<Action>) {
         if self.durability == Durability::Persistent {
             self.issued_sequence += 1;
@@ -67,7 +67,7 @@
         self.pending.push_back(pending);
     }
 
-    /// Removes the oldest that waits for no write any more.
+    /// Removes and returns the oldest pending `Ready` if its write is completed.
     pub(super) fn pop_completed(&mut self) -> Option<PendingReady> {
         let completed = match self.durability {
             Durability::Volatile => u64::MAX,
--- a/crates/control/src/raft_log/ready.rs
+++ b/crates/control/src/raft_log/ready.rs
@@ -1,4 +1,4 @@
-//! Carries out what Raft has ready: stores entries, sends messages, applies what is committed and takes snapshots.
+//! Processes a `Ready` of Raft: stores entries, sends messages, applies committed entries and takes snapshots.
 
 use super::persistence::PendingReady;
 use super::{LogError, RaftLog, NO_LEADER};
@@ -10,16 +10,16 @@
 use raft::eraftpb::{Entry as RaftEntry, Message as RaftMessage, Snapshot};
 use raft::{Ready, StateRole, Storage};
 
-/// A snapshot is taken after so many entries.
+/// The number of applied entries after which a snapshot is taken.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 512;
-/// So many entries before a snapshot are kept for members that are a little behind.
+/// The number of entries before a snapshot that are kept for members that lag slightly behind.
 const RETAINED_ENTRIES: u64 = 128;
 
 impl RaftLog {
-    /// Carries out what Raft has ready, until nothing is left.
+    /// Processes everything that Raft has ready.
     ///
     /// # Errors
-    /// The log is inconsistent and must not be used any more.
+    /// Returns an error if the log is inconsistent and must not be used any more.
     pub(crate) fn process_ready(
         &mut self,
         now: Timestamp,
@@ -43,7 +43,7 @@
         let restored_index = self.restore_received(&ready, &mut write);
         let committed = ready.take_committed_entries();
         let stored = self.store(&ready, &mut write);
-        // The commit index is learned again: only votes, terms and entries have to be stored.
+        // After a restart, Raft determines the commit index again: only votes, terms and entries must be stored.
         if ready.must_sync() {
             self.write_queue.push_write(write, actions);
         }
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Takes over a snapshot that the leader sent; returns the index of its last entry.
+    /// Restores a snapshot from the leader, if there is one. Returns the index of its last entry.
     fn restore_received(&mut self, ready: &Ready, write: &mut LogWrite) -> Option<u64> {
         if ready.snapshot().is_empty() {
             return None;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Stores new entries, term and vote in memory, and adds them to the write.
+    /// Stores new entries, term and vote in memory and adds them to the write.
     fn store(&mut self, ready: &Ready, write: &mut LogWrite) -> Result<(), LogError> {
         let appended = self.storage.append(ready.entries());
         if let Some(hard_state) = ready.hs() {
@@ -98,7 +98,7 @@
         appended
     }
 
-    /// All entries are applied, also behind one that fails.
+    /// Applies all entries, including those after an entry that fails.
     fn apply_committed(
         &mut self,
         committed: Vec<RaftEntry>,
@@ -116,7 +116,7 @@
         result
     }
 
-    /// Sends what waited for writes that are completed.
+    /// Sends the messages that were held back until their writes are completed.
     fn release_pending(&mut self, actions: &mut Vec<Action>) {
         while let Some(pending) = self.write_queue.pop_completed() {
             self.raw_node.on_persist_ready(pending.ready_number);
@@ -160,7 +160,7 @@
         self.storage
             .replace_snapshot(self.applied_index, term, configuration, data);
         self.snapshot_index = self.applied_index;
-        // Entries that can't be dropped now are dropped with the next snapshot.
+        // Entries that can't be compacted now are compacted with the next snapshot.
         let _ = self
             .storage
             .compact(self.applied_index.saturating_sub(RETAINED_ENTRIES));
--- a/crates/control/src/raft_log/storage.rs
+++ b/crates/control/src/raft_log/storage.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the Raft library's own storage, with the replicated state in its snapshots.
+//! The log in memory: the Raft library's `MemStorage`, with the replicated state in its snapshots.
 
 use super::LogError;
 use crate::durable::{DurableState, StoredSnapshot};
@@ -11,11 +11,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Index and term of the snapshot that a group is bootstrapped with.
+/// The index and term of the snapshot that a group is bootstrapped from.
 const BOOTSTRAP_INDEX: u64 = 1;
 const BOOTSTRAP_TERM: u64 = 1;
 
-/// The storage of one log. Clones share it: Raft reads what the log's driver writes.
+/// The storage of one log. Clones share their content: the Raft library reads what [`RaftLog`](super::RaftLog)
+/// writes.
 #[derive(Clone, Default)]
 pub(crate) struct LogStorage {
     memory: MemStorage,
@@ -24,7 +25,8 @@
 }
 
 impl LogStorage {
-    /// Starts from a first snapshot: members that are added later need one, and learn the first voters from it.
+    /// Creates the storage with an initial snapshot. Members that are added later need one, and learn the initial
+    /// voters from it.
     pub(crate) fn bootstrap(voters: &[MemberId], state: Vec<u8>) -> Result<LogStorage, LogError> {
         let mut configuration = ConfState::default();
         configuration.set_voters(voters.to_vec());
@@ -35,10 +37,10 @@
         Ok(storage)
     }
 
-    /// Goes on from what an earlier process stored.
+    /// Restores the storage from the stored state of an earlier process.
     ///
     /// # Errors
-    /// What was stored is inconsistent.
+    /// Returns an error if the stored state is inconsistent.
     pub(crate) fn resume(stored: &DurableState) -> Result<LogStorage, LogError> {
         let storage = LogStorage::default();
         if let Some(bytes) = &stored.snapshot {
@@ -54,7 +56,8 @@
         Ok(storage)
     }
 
-    /// The commit index is not always stored: at least the snapshot was committed.
+    /// Restores term, vote and commit index. The stored commit index may be outdated, but at least the snapshot was
+    /// committed.
     fn resume_hard_state(&self, stored: HardState, last_index: u64) -> Result<(), LogError> {
         let known = self.memory.initial_state()?.hard_state;
         let mut hard_state = stored;
@@ -64,14 +67,14 @@
         Ok(())
     }
 
-    /// The current snapshot; `None` before there is one.
+    /// The current snapshot, or `None` if there is none yet.
     pub(crate) fn stored_snapshot(&self) -> Option<StoredSnapshot> {
         let last_index = self.snapshot_index();
         let bytes = self.snapshot.borrow().write_to_bytes().ok()?;
         (last_index > 0).then_some(StoredSnapshot { last_index, bytes })
     }
 
-    /// The last entry that the current snapshot includes; 0 before there is one.
+    /// The index of the last entry in the current snapshot, or 0 if there is none yet.
     pub(crate) fn snapshot_index(&self) -> u64 {
         self.snapshot.borrow().get_metadata().get_index()
     }
@@ -81,7 +84,7 @@
         self.snapshot.borrow().get_data().to_vec()
     }
 
-    /// Replaces the snapshot that is sent to others.
+    /// Replaces the snapshot that is sent to other members.
     pub(super) fn replace_snapshot(
         &self,
         index: u64,
@@ -97,7 +100,7 @@
         metadata.set_conf_state(configuration);
     }
 
-    /// Replaces the log by a snapshot that was received or stored.
+    /// Replaces the log with a received or stored snapshot.
     pub(super) fn restore(&self, snapshot: &Snapshot) -> Result<(), LogError> {
         self.memory.wl().apply_snapshot(snapshot.clone())?;
         *self.snapshot.borrow_mut() = snapshot.clone();
@@ -116,7 +119,7 @@
         self.memory.wl().set_conf_state(configuration);
     }
 
-    /// Drops the entries before this index.
+    /// Removes the entries before this index.
     pub(super) fn compact(&self, index: u64) -> Result<(), LogError> {
         Ok(self.memory.wl().compact(index)?)
     }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state, the same at every member. It enforces the capacity: a grant that would exceed it is cut when it
-//! is applied, whoever proposed it.
+//! The replicated state, the same at every member. It enforces the capacity: a grant that would exceed the capacity
+//! is reduced when it is applied, whichever leader proposed it.
 
 use crate::entry::{Entry, Grant, GrantId};
 use crate::member::{Bootstrap, ClusterId, Member, MemberId};
@@ -18,7 +18,7 @@
 }
 
 impl ActiveLease {
-    /// The units that the lease takes of the capacity.
+    /// The units of the capacity that the lease reserves.
     pub fn charged(&self) -> u32 {
         self.limit.max(self.in_use)
     }
@@ -27,9 +27,9 @@
 /// The replicated state. Its encoding is the content of snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The group that agreed on it.
+    /// The control group that this state belongs to.
     pub cluster_id: ClusterId,
-    /// The number of entries that were applied; printed as the state's epoch.
+    /// The number of applied entries; printed as the state's epoch.
     pub applied_entries: u64,
     /// Voters and learners.
     pub members: BTreeMap<MemberId, Member>,
@@ -37,12 +37,12 @@
     pub capacity: u32,
     /// Active leases by holder.
     pub leases: BTreeMap<MemberId, ActiveLease>,
-    /// The number of grants that were made so far.
+    /// The number of grants made so far.
     pub grant_count: u64,
 }
 
 impl ClusterState {
-    /// The state of a group that begins.
+    /// The initial state of a group.
     pub fn bootstrap(bootstrap: &Bootstrap) -> ClusterState {
         let members = bootstrap
             .members
@@ -57,14 +57,14 @@
         }
     }
 
-    /// The units of the capacity that active leases take.
+    /// The units of the capacity that active leases reserve.
     pub fn total_granted(&self) -> u32 {
         self.leases
             .values()
             .fold(0, |sum, lease| sum.saturating_add(lease.charged()))
     }
 
-    /// The units that a new lease of this holder may have: the capacity without the leases of the others.
+    /// The most units that a new lease of this holder may get: the capacity minus the leases of the other holders.
     pub fn available_to(&self, holder: MemberId) -> u32 {
         let granted_to_others = self.total_granted().saturating_sub(self.charged_to(holder));
         self.capacity.saturating_sub(granted_to_others)
@@ -74,7 +74,7 @@
         self.leases.get(&holder).map_or(0, ActiveLease::charged)
     }
 
-    /// Applies one entry; returns the grants as they were made.
+    /// Applies one entry. Returns the grants with the limits that were actually granted.
     pub fn apply(&mut self, entry: Entry) -> Vec<Grant> {
         self.applied_entries += 1;
         match entry {
@@ -92,7 +92,7 @@
             .collect()
     }
 
-    /// A newer lease of the same holder stays.
+    /// Removes the leases of expired grants. A newer lease of the same holder is kept.
     fn remove_expired(&mut self, expired: &[GrantId]) {
         for grant in expired {
             let lease = self.leases.get(&grant.holder);
@@ -106,7 +106,8 @@
         if !self.members.contains_key(&grant.holder) || self.is_outdated(&grant) {
             return None;
         }
-        // A holder can't have more in use than it was granted: otherwise one faulty member could take all of the capacity.
+        // A holder can't have more units in use than it was granted. Without this bound, one faulty member could
+        // reserve the entire capacity.
         let in_use = grant.in_use.min(self.charged_to(grant.holder));
         let limit = grant.limit.min(self.available_to(grant.holder));
         self.grant_count += 1;
@@ -119,8 +120,8 @@
         Some(Grant { limit, ..grant })
     }
 
-    /// Whether the holder has a lease for this request or a later one: a former leader may have accepted a request that
-    /// enters the log behind a newer one.
+    /// Returns true if the holder already has a lease for this request or a later one. A former leader may have
+    /// accepted a request whose entry is committed after that of a newer request.
     fn is_outdated(&self, grant: &Grant) -> bool {
         self.leases
             .get(&grant.holder)
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,14 +1,15 @@
-//! The status of a control node, as it is printed. The serialized keys are part of the operators' interface.
+//! The printed status of a control node. The serialized keys are part of the operators' interface.
 
 use crate::member::{ClusterId, Member};
 use serde::Serialize;
 
-/// Counts of messages that were rejected.
+/// Counts of rejected messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectedMessages {
-    /// From members of a control group that is fenced off.
+    /// Messages from members of a fenced control group.
     pub fenced: u64,
-    /// Unreadable, for another incarnation or group, or from a member that may not send them.
+    /// Messages that can't be decoded, are for another incarnation or group, or come from a member that may not send
+    /// them.
     #[serde(rename = "strange")]
     pub invalid: u64,
 }
@@ -18,9 +19,9 @@
 pub struct LogLine {
     /// The index of the entry.
     pub index: u64,
-    /// The Raft term in which the entry was proposed.
+    /// The Raft term of the entry.
     pub term: u64,
-    /// What the entry changes.
+    /// A description of the change that the entry makes.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -32,9 +33,9 @@
     pub member: Member,
     /// `leader`, `voter` or `learner`.
     pub role: &'static str,
-    /// Whether membership takes it to be alive.
+    /// Whether gossip membership reports the member as live.
     pub alive: bool,
-    /// The units of the capacity that its lease takes.
+    /// The units of the capacity that the member's lease reserves.
     #[serde(rename = "slice")]
     pub lease: u32,
 }
@@ -42,32 +43,32 @@
 /// The status of a control node.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// This node.
+    /// The local node.
     #[serde(rename = "me")]
     pub local_member: Member,
-    /// The control group that it has joined.
+    /// The control group that the node has joined.
     #[serde(rename = "stamp")]
     pub cluster_id: Option<ClusterId>,
-    /// The number of entries that the state includes.
+    /// The number of entries applied to the state.
     pub epoch: u64,
-    /// The Raft term.
+    /// The current Raft term.
     pub term: u64,
-    /// The index of the last entry that was applied.
+    /// The index of the last applied entry.
     pub index: u64,
-    /// The leader's name.
+    /// The name of the leader.
     pub leader: Option<String>,
-    /// The budget that is leased out.
+    /// The budget to lease out.
     #[serde(rename = "whole")]
     pub capacity: u32,
-    /// The units of the capacity that active leases take.
+    /// The units of the capacity that active leases reserve.
     #[serde(rename = "sum")]
     pub granted: u32,
-    /// The units that this node may use now, its floor included.
+    /// The units that this node may currently use, its floor included.
     #[serde(rename = "limit")]
     pub lease_limit: u32,
-    /// Milliseconds until its lease expires, by its own clock.
+    /// Milliseconds until the node's lease expires, by the node's clock.
     pub lease_ms: Option<u64>,
-    /// Messages that were rejected.
+    /// Counts of rejected messages.
     #[serde(rename = "refused")]
     pub rejected: RejectedMessages,
     /// Voters, then learners.
--- a/crates/control/tests/model/main.rs
+++ b/crates/control/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! The state machines of leases ([`ClusterState`], [`LeaseHolder`], [`GrantClocks`]) under every order of events, by
-//! exhaustive search: two holders, messages that are delayed without bound, a holder that freezes or restarts from
-//! nothing, a granter that starts anew, a recovered quorum, and clocks that drift apart.
+//! Model checking of the lease state machines ([`ClusterState`], [`LeaseHolder`], [`GrantClocks`]) under every order
+//! of events: two holders, messages with unbounded delay, a holder that freezes or restarts without stored state, a
+//! new granter, a quorum recovery, and clocks that drift apart.
 
 mod system;
 
@@ -15,36 +15,36 @@
 use std::time::Duration;
 use system::{Event, Holder, InFlight, SystemState};
 
-/// Time goes in steps of this many milliseconds, as a perfect clock shows them.
+/// The length of a time step in milliseconds, by a perfect clock.
 const STEP_MILLIS: u64 = 500;
 const CAPACITY: u32 = 2;
-/// The most requests of each incarnation of a holder.
+/// The maximum number of requests of each incarnation of a holder.
 const MAX_REQUESTS: [u8; 2] = [2, 1];
-/// The most messages on their way when a holder makes a request.
+/// A holder makes a request only if fewer messages than this are in flight.
 const MAX_IN_FLIGHT: usize = 2;
-/// Added to the id of a holder that restarts from nothing.
+/// Added to the id of a holder that restarts without stored state.
 const RESTART_ID_OFFSET: MemberId = 10;
 const WITHIN_CAPACITY: &str = "the usage is within the capacity";
 
-/// A rule that is left out, to show that the search finds what it guards against.
+/// A rule to omit, to show that the search finds the violation that the rule prevents.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mutant {
-    /// An incarnation from nothing takes the id that the one before had.
+    /// An incarnation without stored state reuses the id of its predecessor.
     ReusedId,
-    /// A group with a recovered quorum grants at once.
+    /// A group grants leases immediately after a quorum recovery.
     NoWaitAfterRecovery,
-    /// What an earlier lease may still have in use is not counted.
+    /// Units that may still be in use under earlier leases are not counted.
     UsageNotCounted,
 }
 
-/// What is searched.
+/// The parameters of the search.
 #[derive(Clone, Copy)]
 struct LeaseModel {
     last_step: u64,
     max_fault_count: u8,
-    /// The holders' clocks are slow by this ratio, the granter's is fast by as much.
+    /// The holders' clocks are slow by this ratio, and the granter's clock is fast by the same ratio.
     clock_error: f64,
-    /// The bound that the granter assumes.
+    /// The bound on clock drift that the granter assumes.
     max_clock_drift: f64,
     mutant: Option<Mutant>,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// What a clock with this rate shows.
+/// The reading of a clock with this rate.
 fn clock_time(step: u64, rate: f64) -> Timestamp {
     let nanos = (step * STEP_MILLIS) as f64 * 1e6;
     Timestamp((nanos * rate) as u64)
@@ -112,7 +112,7 @@
         clock_time(step, 1.0 + self.clock_error)
     }
 
-    /// The granter frees what has expired, as it does each tick, and holders use what they may.
+    /// The granter removes expired leases, as at each tick, and holders use their whole limits.
     fn run_upkeep(&self, system: &mut SystemState) {
         let now = self.granter_time(system.step);
         system.grant_clocks.follow(now, &system.cluster);
@@ -125,7 +125,7 @@
         }
     }
 
-    fn must_wait(&self, system: &SystemState) -> bool {
+    fn must_delay_grants(&self, system: &SystemState) -> bool {
         let now = self.granter_time(system.step);
         !self.is_mutant(Mutant::NoWaitAfterRecovery)
             && system.cluster.grant_count == 0
@@ -139,7 +139,7 @@
         request: LeaseRequest,
         max_limit: u32,
     ) {
-        if self.must_wait(system) {
+        if self.must_delay_grants(system) {
             return;
         }
         let in_use = if self.is_mutant(Mutant::UsageNotCounted) {
@@ -171,7 +171,7 @@
             .push(InFlight::LeaseRequest { from, request });
     }
 
-    /// `None` where nothing happens.
+    /// Returns `None` if the event has no effect.
     fn deliver(&self, system: &mut SystemState, index: usize, max_limit: u32) -> Option<()> {
         match system.in_flight.remove(index) {
             InFlight::LeaseRequest { from, request } => {
@@ -197,14 +197,14 @@
         let mut lease = LeaseHolder::new(&self.terms(), now, 0, 0);
         let mut id = system.holders[index].id;
         if self.is_mutant(Mutant::ReusedId) {
-            // It goes on as the one it was, and has forgotten what that one was granted.
+            // The holder continues under the same id, and its lease is forgotten.
             system.cluster.leases.remove(&id);
             lease.next_request(&self.terms(), now, 0);
         } else {
             id += RESTART_ID_OFFSET;
         }
         system.holders[index] = Holder::new(id, lease, usages);
-        // The group adds the new incarnation once the old one is removed.
+        // The group adds the new incarnation after the old one is removed.
         let member = Member {
             id,
             ..system.cluster.members.values().next()?.clone()
@@ -218,21 +218,21 @@
         system.cluster = form_cluster(epoch, &system.holders);
         system.grant_clocks = GrantClocks::default();
         system.leader_since = self.granter_time(system.step);
-        // Messages of the old group answer nothing any more; leases that are held run on.
+        // Messages of the old group are dropped, but held leases remain valid.
         system.in_flight.clear();
     }
 
-    /// `None` where nothing happens.
+    /// Returns `None` if the event has no effect.
     fn apply(&self, system: &mut SystemState, event: &Event) -> Option<()> {
         match *event {
-            Event::Pass => system.step += 1,
+            Event::AdvanceTime => system.step += 1,
             Event::Request(index) => self.request(system, index),
-            Event::DeliverForOneUnit(index) => self.deliver(system, index, 1)?,
+            Event::DeliverWithLimitOne(index) => self.deliver(system, index, 1)?,
             Event::Deliver(index) => self.deliver(system, index, CAPACITY)?,
             Event::Freeze(index) => system.holders[index].is_frozen = true,
             Event::Thaw(index) => system.holders[index].is_frozen = false,
             Event::Restart(index) => self.restart(system, index)?,
-            // It counts all leases that it finds from now on.
+            // The new granter counts the duration of all leases from now on.
             Event::NewGranter => system.grant_clocks = GrantClocks::default(),
             Event::RecoverQuorum => self.recover_quorum(system),
         }
@@ -251,7 +251,7 @@
         };
         let holders = vec![holder(1), holder(2)];
         let mut cluster = form_cluster(1, &holders);
-        // A group that has granted leases before.
+        // The group has granted leases before.
         cluster.grant_count = 1;
         vec![SystemState {
             step: 0,
@@ -266,7 +266,7 @@
 
     fn actions(&self, system: &SystemState, events: &mut Vec<Event>) {
         if system.step < self.last_step {
-            events.push(Event::Pass);
+            events.push(Event::AdvanceTime);
         }
         let now = self.holder_time(system.step);
         for (index, holder) in system.holders.iter().enumerate() {
@@ -284,7 +284,7 @@
         for (index, message) in system.in_flight.iter().enumerate() {
             events.push(Event::Deliver(index));
             if matches!(message, InFlight::LeaseRequest { .. }) {
-                events.push(Event::DeliverForOneUnit(index));
+                events.push(Event::DeliverWithLimitOne(index));
             }
         }
         if system.fault_count < self.max_fault_count {
@@ -299,7 +299,7 @@
         let mut next = system.clone();
         next.fault_count += u8::from(event.is_fault());
         self.apply(&mut next, &event)?;
-        // Any of them may come next: their order says nothing.
+        // Messages may be delivered in any order, so states that differ only in their order are the same.
         next.in_flight.sort();
         self.run_upkeep(&mut next);
         Some(next)
@@ -318,10 +318,10 @@
 
 #[rstest]
 #[case::with_all_rules(ALL_RULES, false)]
-#[case::without_the_bound_on_drift(LeaseModel { max_clock_drift: 0.0, ..ALL_RULES }, true)]
+#[case::without_the_drift_bound(LeaseModel { max_clock_drift: 0.0, ..ALL_RULES }, true)]
 #[case::without_a_new_identity(with_mutant(Mutant::ReusedId), true)]
-#[case::without_the_wait_after_a_recovery(with_mutant(Mutant::NoWaitAfterRecovery), true)]
-#[case::without_what_is_still_in_use(with_mutant(Mutant::UsageNotCounted), true)]
+#[case::without_the_wait_after_quorum_recovery(with_mutant(Mutant::NoWaitAfterRecovery), true)]
+#[case::without_units_still_in_use(with_mutant(Mutant::UsageNotCounted), true)]
 fn leases_never_exceed_the_capacity(#[case] model: LeaseModel, #[case] exceeds: bool) {
     let last_step = std::env::var("MODEL_STEPS")
         .ok()
@@ -333,7 +333,7 @@
         .spawn_bfs()
         .join();
     println!(
-        "{} states, {} of them different, {} steps deep",
+        "{} states, {} unique, depth {}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth()
--- a/crates/control/tests/model/system.rs
+++ b/crates/control/tests/model/system.rs
@@ -1,4 +1,4 @@
-//! The states that the search goes through, and the events between them.
+//! The states and events of the search.
 
 use lupincrank_control::entry::Grant;
 use lupincrank_control::lease::{GrantClocks, LeaseHolder, LeaseRequest};
@@ -6,22 +6,21 @@
 use lupincrank_control::state::ClusterState;
 use lupincrank_placement::Timestamp;
 
-/// A limit, and the last step in which it was in force.
+/// A limit, and the last step at which it was in force.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Usage {
     pub limit: u32,
     pub last_step: u64,
 }
 
-/// One holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    /// Its incarnation.
+    /// The incarnation of the holder.
     pub id: MemberId,
     pub lease: LeaseHolder,
     pub request_count: u8,
     pub is_frozen: bool,
-    /// What it may have used, by the perfect clock; also what the incarnations before it may have.
+    /// The usage that may still count, by the perfect clock, of this incarnation and of earlier ones.
     pub usages: Vec<Usage>,
 }
 
@@ -41,7 +40,7 @@
         limits.max().unwrap_or(0)
     }
 
-    /// Uses what it may, unless it is frozen; forgets what does not count any more.
+    /// Uses the whole limit unless the holder is frozen, and drops usage that does not count any more.
     pub fn record_usage(&mut self, now: Timestamp, step: u64) {
         if !self.is_frozen {
             self.usages.push(Usage {
@@ -56,7 +55,7 @@
     }
 }
 
-/// A message that is on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InFlight {
     LeaseRequest {
@@ -74,21 +73,21 @@
     pub step: u64,
     pub cluster: ClusterState,
     pub grant_clocks: GrantClocks,
-    /// Since when the granter leads the group.
+    /// The time since which the granter has led the group.
     pub leader_since: Timestamp,
     pub holders: Vec<Holder>,
     pub in_flight: Vec<InFlight>,
     pub fault_count: u8,
 }
 
-/// What may happen; holders and messages by their indexes.
+/// Events of the search. Holders and messages are identified by index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    Pass,
+    AdvanceTime,
     Request(usize),
     Deliver(usize),
     /// The granter grants less than is available.
-    DeliverForOneUnit(usize),
+    DeliverWithLimitOne(usize),
     Freeze(usize),
     Thaw(usize),
     Restart(usize),
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Control nodes under drawn schedules of faults: whatever happens, what all nodes may use within a second never exceeds
-//! the capacity.
+//! Control nodes under random fault schedules: whatever faults occur, the total usage of all nodes within any one
+//! second never exceeds the capacity.
 
 mod sim;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// How many schedules are drawn, unless the environment says another number.
+/// The number of random schedules; `PROPTEST_CASES` overrides the default.
 fn schedule_count() -> u32 {
     std::env::var("PROPTEST_CASES")
         .ok()
@@ -37,10 +37,10 @@
         2 => Just(Fault::Heal),
         2 => (0..5usize).prop_map(Fault::Freeze),
         2 => (0..5usize).prop_map(Fault::Thaw),
-        3 => (0..5usize).prop_map(Fault::RestartFromNothing),
+        3 => (0..5usize).prop_map(Fault::RestartWithoutState),
         1 => (0..5usize).prop_map(Fault::Kill),
-        1 => (0..5usize).prop_map(Fault::Leave),
-        1 => (0..60u32).prop_map(Fault::LoseMessages),
+        1 => (0..5usize).prop_map(Fault::ShutDown),
+        1 => (0..60u32).prop_map(Fault::DropMessages),
     ]
 }
 
@@ -62,7 +62,7 @@
             prop_assert!(simulation.peak_usage <= CAPACITY, "{} in use of {CAPACITY} after {fault:?}, {:?}",
                 simulation.peak_usage, simulation.now);
         }
-        // A recovery of the quorum while nodes still hold leases.
+        // A quorum recovery while nodes still hold leases.
         for node in 0..node_count {
             simulation.inject(&Fault::Thaw(node));
         }
@@ -74,11 +74,11 @@
     }
 }
 
-/// With disks a node that restarts goes on as the voter it was, whatever of its last writes was lost.
+/// Faults of nodes with disks: a restarted node resumes as the same voter, whichever of its last writes were lost.
 fn any_fault_with_disks() -> impl Strategy<Value = Fault> {
     prop_oneof![
         4 => (0..5usize).prop_map(Fault::RestartFromDisk),
-        1 => (0..5usize).prop_map(Fault::RestartFromNothing),
+        1 => (0..5usize).prop_map(Fault::RestartWithoutState),
         3 => any_fault(),
     ]
 }
@@ -88,12 +88,12 @@
     assert!(peak <= CAPACITY, "{peak} in use of {CAPACITY}, {context}");
 }
 
-/// All but what is just changing hands is in use.
+/// Checks that the capacity is in use except for units that are being moved between nodes.
 fn assert_capacity_is_used(simulation: &mut Simulation, context: &str) {
     let usage = simulation.total_usage();
     assert!(
         (CAPACITY - 2..=CAPACITY).contains(&usage),
-        "{usage} of {CAPACITY}, {context}"
+        "{usage} of {CAPACITY} in use, {context}"
     );
 }
 
@@ -117,9 +117,10 @@
     }
 }
 
-/// All restart in one moment, some of their last writes lost: the same group goes on, and nobody forms another.
+/// All nodes restart at the same time and lose some of their last writes. The same group must resume, and no node may
+/// form another.
 #[test]
-fn a_group_with_disks_outlives_all_of_its_processes() {
+fn a_group_with_disks_survives_the_restart_of_all_nodes() {
     for seed in 0..6 {
         let mut simulation = group_with_disks(5, seed);
         simulation.run(Duration::from_secs(10));
@@ -128,7 +129,7 @@
         for _ in 0..3 {
             (0..5).for_each(|node| simulation.inject(&Fault::RestartFromDisk(node)));
             simulation.run(Duration::from_secs(10));
-            assert_eq!(simulation.led_node_count(), 5, "seed {seed}");
+            assert_eq!(simulation.count_nodes_with_leader(), 5, "seed {seed}");
             assert_eq!(
                 (0..5)
                     .map(|node| simulation.cluster_id(node))
@@ -142,19 +143,19 @@
     }
 }
 
-/// A committed entry outlives all processes, whatever their disks had still to write: nothing is sent before it is synced.
-/// The mutant reports writes as completed as soon as they are asked for.
+/// A committed entry survives the restart of all processes, whichever writes were pending, since messages are held
+/// back until the writes are synced. The mutant reports writes as completed as soon as they are requested.
 #[rstest]
 #[case::waits_for_the_disk(WriteReport::WhenSynced)]
-#[case::the_mutant_that_does_not(WriteReport::BeforeSynced)]
-fn committed_entries_outlive_slow_disks(#[case] report: WriteReport) {
+#[case::mutant_reports_writes_early(WriteReport::BeforeSynced)]
+fn committed_entries_survive_restarts_with_slow_disks(#[case] report: WriteReport) {
     let mut lost_count = 0;
     for seed in 0..12 {
         let mut simulation = SimulationBuilder::new(5, seed)
             .disks(DiskSpeed::Slow, report)
             .start();
         simulation.run(Duration::from_secs(15));
-        // Index and term identify an entry.
+        // An entry is identified by index and term.
         let entries = |simulation: &Simulation, node: usize| -> Vec<(u64, u64)> {
             simulation.nodes[node]
                 .control_node
@@ -169,26 +170,27 @@
         (0..5).for_each(|node| simulation.inject(&Fault::RestartFromDisk(node)));
         simulation.run(Duration::from_secs(8));
         let leader = simulation.leader();
-        let leader = leader.unwrap_or_else(|| panic!("seed {seed}: nobody leads"));
+        let leader = leader.unwrap_or_else(|| panic!("seed {seed}: no leader"));
         lost_count += u32::from(!entries(&simulation, leader).contains(&last));
     }
     let is_mutant = report == WriteReport::BeforeSynced;
     assert_eq!(
         lost_count > 0,
         is_mutant,
-        "{lost_count} of 12 have lost something"
+        "{lost_count} of 12 groups lost a committed entry"
     );
 }
 
-/// Three of four shut down within 0.2 s, each waited for until its removal is confirmed, for 3 s at the most: the one that
-/// stays has a group, and after a while all of the capacity but the floors that stay set aside for the others.
+/// Three of four nodes shut down within 0.2 s. Each runs until its removal is confirmed, for at most 3 s. The
+/// remaining node must lead a group and get the whole capacity, except for the floors that remain reserved for the
+/// others.
 #[test]
-fn nodes_that_shut_down_leave_a_group_and_their_leases_behind() {
+fn the_remaining_node_gets_the_leases_of_nodes_that_shut_down() {
     for seed in 0..8 {
         let mut simulation = group_with_drift(4, seed);
         simulation.run(Duration::from_secs(10));
         for node in 0..3 {
-            simulation.inject(&Fault::Leave((seed as usize + node) % 4));
+            simulation.inject(&Fault::ShutDown((seed as usize + node) % 4));
             simulation.run(Duration::from_millis(75));
         }
         let remaining = (seed as usize + 3) % 4;
@@ -216,25 +218,25 @@
     }
 }
 
-/// A voter that restarts from nothing is another member. The mutant votes under the id that it had: a node that was cut
-/// off and knows none of the last grants is elected by it, and grants what others still hold.
+/// A voter that restarts without stored state is another member. The mutant votes under its previous id: it elects a
+/// node that was partitioned and lacks the latest grants, and that node grants units that others still hold.
 #[rstest]
-#[case::another_id(RestartIdentity::New)]
-#[case::the_mutant(RestartIdentity::Reused)]
-fn a_voter_that_restarts_from_nothing_is_another_member(#[case] identity: RestartIdentity) {
+#[case::new_id(RestartIdentity::New)]
+#[case::mutant_reuses_the_id(RestartIdentity::Reused)]
+fn a_voter_that_restarts_without_state_is_another_member(#[case] identity: RestartIdentity) {
     let mut peak = 0;
     for seed in 0..8 {
         let mut simulation = SimulationBuilder::new(3, seed)
             .restart_identity(identity)
             .start();
         simulation.run(Duration::from_secs(10));
-        // The others divide what the one that is cut off had ...
+        // The other nodes divide the lease of the isolated node ...
         simulation.isolate(2);
         simulation.run(Duration::from_secs(7));
-        // ... then one of them starts from nothing, on its side of a cut.
+        // ... then one of them restarts without stored state on the same side of a partition as that node.
         simulation.inject(&Fault::Heal);
         simulation.isolate(0);
-        simulation.inject(&Fault::RestartFromNothing(1));
+        simulation.inject(&Fault::RestartWithoutState(1));
         simulation.run(Duration::from_secs(5));
         peak = peak.max(simulation.peak_usage);
     }
@@ -242,10 +244,11 @@
     assert_eq!(peak > CAPACITY, is_mutant, "{peak} in use of {CAPACITY}");
 }
 
-/// Clocks that differ by 14 parts in a thousand, and long leases, so that this is more than the window leaves over.
+/// Clocks that are fast or slow by 1.4%, with leases long enough that the difference exceeds the margin of the
+/// accounting window.
 #[rstest]
-#[case::waits_longer(0.03, false)]
-#[case::the_mutant_that_trusts_clocks(0.0, true)]
+#[case::waits_for_the_maximum_drift(0.03, false)]
+#[case::mutant_ignores_drift(0.0, true)]
 fn a_granter_waits_for_slow_clocks(#[case] max_clock_drift: f64, #[case] exceeds: bool) {
     let terms = LeaseTerms {
         lease_duration: Duration::from_secs(60),
@@ -271,37 +274,37 @@
     for (seed, fault) in [
         (1, Fault::Kill(0)),
         (2, Fault::Freeze(0)),
-        (3, Fault::RestartFromNothing(0)),
+        (3, Fault::RestartWithoutState(0)),
         (4, Fault::CutLink(0, 1)),
     ] {
         let mut simulation = group_with_drift(5, seed);
         simulation.run(Duration::from_secs(10));
-        assert_eq!(simulation.led_node_count(), 5, "seed {seed}");
+        assert_eq!(simulation.count_nodes_with_leader(), 5, "seed {seed}");
         simulation.inject(&fault);
         simulation.run(Duration::from_secs(12));
         assert!(
-            simulation.led_node_count() >= 4,
-            "{} know a leader after {fault:?}",
-            simulation.led_node_count()
+            simulation.count_nodes_with_leader() >= 4,
+            "{} nodes know a leader after {fault:?}",
+            simulation.count_nodes_with_leader()
         );
-        // The lease of a node that is gone is in use again, but for its floor.
+        // Other nodes use the units of the failed node's lease, but not its floor.
         assert_capacity_is_used(&mut simulation, &format!("after {fault:?}"));
     }
 }
 
-/// A new incarnation is sent a snapshot first: one that gets lost must be sent again, and nobody votes without it.
+/// A new incarnation receives a snapshot first and can't vote without it, so a lost snapshot must be resent.
 #[test]
-fn leaders_restart_from_nothing_one_after_the_other_while_messages_get_lost() {
+fn leaders_restart_without_state_one_after_another_under_message_loss() {
     let mut simulation = group_with_drift(5, 6);
     simulation.run(Duration::from_secs(10));
     for round in 0..6 {
         let leader = simulation.leader().expect("a leader");
-        simulation.inject(&Fault::LoseMessages(40));
-        simulation.inject(&Fault::RestartFromNothing(leader));
+        simulation.inject(&Fault::DropMessages(40));
+        simulation.inject(&Fault::RestartWithoutState(leader));
         simulation.run(Duration::from_secs(7));
         simulation.inject(&Fault::Heal);
         simulation.run(Duration::from_secs(6));
-        assert_eq!(simulation.led_node_count(), 5, "round {round}");
+        assert_eq!(simulation.count_nodes_with_leader(), 5, "round {round}");
         let member_counts: Vec<usize> = simulation
             .nodes
             .iter()
@@ -319,9 +322,9 @@
 fn after_a_lost_majority_only_an_operator_recovers_the_quorum_and_the_old_group_is_fenced() {
     let mut simulation = group_with_drift(5, 9);
     simulation.run(Duration::from_secs(10));
-    // More than half of the voters are gone in one moment, and come back with no memory.
+    // A majority of the voters restarts at the same time without stored state.
     for node in [0, 1, 2] {
-        simulation.inject(&Fault::RestartFromNothing(node));
+        simulation.inject(&Fault::RestartWithoutState(node));
     }
     simulation.run(Duration::from_secs(8));
     let epochs = |simulation: &Simulation| -> Vec<Option<u64>> {
@@ -336,16 +339,16 @@
             .collect()
     };
     assert!(
-        simulation.led_node_count() == 0
+        simulation.count_nodes_with_leader() == 0
             || epochs(&simulation).iter().all(|epoch| *epoch == Some(1)),
         "{:?}",
         epochs(&simulation)
     );
-    if simulation.led_node_count() == 0 {
+    if simulation.count_nodes_with_leader() == 0 {
         simulation.inject(&Fault::RecoverQuorum(3));
         simulation.run(Duration::from_secs(10));
         assert_eq!(epochs(&simulation), vec![Some(2); 5]);
-        assert_eq!(simulation.led_node_count(), 5);
+        assert_eq!(simulation.count_nodes_with_leader(), 5);
     }
     assert!(
         simulation.peak_usage <= CAPACITY,
@@ -372,7 +375,8 @@
         GROUP.with_borrow_mut(|simulation| {
             let to = simulation.leader().unwrap();
             let own_cluster_id = simulation.cluster_id(to).unwrap();
-            // A higher id would be another group, which every incarnation prefers: that is the rule.
+            // By design, every incarnation switches to a group with a higher id, so a foreign group gets a lower one
+            // here.
             let cluster_id = if is_own_group { own_cluster_id } else { ClusterId { epoch: 0, bootstrap_id: 3 } };
             let from = if from == to { (to + 1) % 3 } else { from };
             let id = simulation.nodes[from].id;
@@ -386,7 +390,7 @@
                     demand: u32::MAX,
                 }),
                 5 => ControlMessage::LeaseGranted { cluster_id, request_number: bytes.len() as u64, limit: u32::MAX },
-                // That a member is leaving only that member says, as with what it uses.
+                // `Leaving` is not tested: only the member itself sends it, as with its usage.
                 _ => ControlMessage::Removed(cluster_id),
             };
             let now = simulation.local_time(to);
--- a/crates/control/tests/sim/builder.rs
+++ b/crates/control/tests/sim/builder.rs
@@ -1,21 +1,21 @@
-//! Describes a simulation before it starts.
+//! Configuration of a simulation.
 
 use super::Simulation;
 use lupincrank_control::lease::LeaseTerms;
 
-/// The id of a node that restarts from nothing.
+/// The id of a node that restarts without stored state.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum RestartIdentity {
     New,
-    /// The mutant that must be caught.
+    /// A mutant that the tests must detect.
     Reused,
 }
 
-/// When a write is reported as completed.
+/// The time at which a write is reported as completed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum WriteReport {
     WhenSynced,
-    /// The mutant that must be caught.
+    /// A mutant that the tests must detect.
     BeforeSynced,
 }
 
@@ -31,7 +31,7 @@
     pub report: WriteReport,
 }
 
-/// Describes a simulation before it starts.
+/// Configuration of a simulation.
 pub struct SimulationBuilder {
     pub(super) node_count: usize,
     pub(super) seed: u64,
@@ -42,7 +42,7 @@
 }
 
 impl SimulationBuilder {
-    /// Nodes without disks, with clocks that don't drift.
+    /// Nodes without disks, and clocks without drift.
     pub fn new(node_count: usize, seed: u64) -> SimulationBuilder {
         SimulationBuilder {
             node_count,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Clocks are fast or slow by this ratio.
+    /// Makes each clock fast or slow by this ratio.
     pub fn clock_drift(mut self, ratio: f64) -> SimulationBuilder {
         self.clock_drift = ratio;
         self
@@ -70,7 +70,7 @@
         self
     }
 
-    /// Nodes that store their log and vote.
+    /// Makes nodes store their log and vote on a disk.
     pub fn disks(mut self, speed: DiskSpeed, report: WriteReport) -> SimulationBuilder {
         self.disk = Some(DiskModel { speed, report });
         self
@@ -81,14 +81,14 @@
     }
 }
 
-/// A group of nodes with disks that report writes once they are synced.
+/// Starts a group of nodes with disks that report writes once they are synced.
 pub fn group_with_disks(node_count: usize, seed: u64) -> Simulation {
     SimulationBuilder::new(node_count, seed)
         .disks(DiskSpeed::Fast, WriteReport::WhenSynced)
         .start()
 }
 
-/// A group of nodes whose clocks drift by one part in a hundred.
+/// Starts a group of nodes whose clocks drift by 1%.
 pub fn group_with_drift(node_count: usize, seed: u64) -> Simulation {
     SimulationBuilder::new(node_count, seed)
         .clock_drift(0.01)
--- a/crates/control/tests/sim/mod.rs
+++ b/crates/control/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Control groups in simulated time: messages take a while or get lost, links are cut in one direction, nodes freeze, die
-//! and start from nothing, and each has a clock of its own.
+//! Simulates control groups: messages are delayed or lost, links are cut in one direction, nodes freeze, are killed
+//! and restart without stored state, and each node has its own clock.
 
 mod builder;
 mod network;
@@ -22,36 +22,36 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(25);
-/// How long a node must be silent before membership takes it to be dead.
+/// The time without contact after which gossip membership reports a node as unreachable.
 const FAILURE_DETECTION_DELAY: Duration = Duration::from_millis(2500);
 pub const CAPACITY: u32 = 10;
 pub const FLOOR: u32 = 1;
-/// The slowest write of a fast and of a slow disk, in milliseconds.
+/// The maximum duration of a write on a fast and on a slow disk, in milliseconds.
 const MAX_WRITE_MILLIS: u64 = 120;
 const MAX_SLOW_WRITE_MILLIS: u64 = 500;
-/// Messages are lost with at most this probability, in percent.
+/// The maximum probability of message loss, in percent.
 const MAX_LOSS_PERCENT: u32 = 60;
 
-/// A fault at a node, or between two, by their indexes.
+/// A fault of a node or of a link between two nodes, by node index.
 #[derive(Clone, Debug)]
 pub enum Fault {
     CutLink(usize, usize),
-    /// Mends all links, and loses no more messages.
+    /// Restores all links and stops message loss.
     Heal,
     Freeze(usize),
     Thaw(usize),
-    /// Killed and started again at once, with nothing.
-    RestartFromNothing(usize),
-    /// Killed and started again at once, with what was on its disk by then.
+    /// Kills the node and immediately restarts it without stored state.
+    RestartWithoutState(usize),
+    /// Kills the node and immediately restarts it with the current content of its disk.
     RestartFromDisk(usize),
     Kill(usize),
-    LoseMessages(u32),
+    DropMessages(u32),
     RecoverQuorum(usize),
-    /// It shuts down gracefully: gone once it is confirmed, after 3 s at the most.
-    Leave(usize),
+    /// Shuts the node down gracefully. It stops once its removal is confirmed, after at most 3 s.
+    ShutDown(usize),
 }
 
-/// The usage of an incarnation that is gone.
+/// The usage of a terminated incarnation.
 struct PastUsage {
     ended_at: Duration,
     usage: u32,
@@ -60,24 +60,24 @@
 pub struct Simulation {
     pub nodes: Vec<SimulatedNode>,
     pub now: Duration,
-    /// The highest usage of all nodes within any window.
+    /// The highest total usage of all nodes within any accounting window.
     pub peak_usage: u32,
     lease_terms: LeaseTerms,
     node_count: usize,
     restart_identity: RestartIdentity,
     disk: Option<DiskModel>,
     network: Network,
-    /// When a node last heard another, as membership sees it.
-    last_heard: BTreeMap<Link, Duration>,
+    /// The time of the last contact from one node to another, as seen by gossip membership.
+    last_contact: BTreeMap<Link, Duration>,
     incarnation_count: u64,
-    random: Pcg64Mcg,
-    /// Of incarnations that ended within the last window.
+    rng: Pcg64Mcg,
+    /// Usage of incarnations that terminated within the last window.
     past_usages: VecDeque<PastUsage>,
 }
 
 impl Simulation {
     fn start(builder: &SimulationBuilder) -> Simulation {
-        let mut clock_random = Pcg64Mcg::new(u128::from(builder.seed) << 1 | 1);
+        let mut clock_rng = Pcg64Mcg::new(u128::from(builder.seed) << 1 | 1);
         let mut simulation = Simulation {
             nodes: Vec::new(),
             now: Duration::ZERO,
@@ -87,16 +87,16 @@
             restart_identity: builder.restart_identity,
             disk: builder.disk,
             network: Network::default(),
-            last_heard: BTreeMap::new(),
+            last_contact: BTreeMap::new(),
             incarnation_count: 0,
-            random: clock_random.clone(),
+            rng: clock_rng.clone(),
             past_usages: VecDeque::new(),
         };
         for index in 0..builder.node_count {
-            let direction = clock_random.random_range(-1.0..1.0f64).signum();
+            let direction = clock_rng.random_range(-1.0..1.0f64).signum();
             let clock = Clock {
                 rate: 1.0 + builder.clock_drift * direction,
-                offset: clock_random.random_range(1_000..1_000_000_000_000u64),
+                offset: clock_rng.random_range(1_000..1_000_000_000_000u64),
             };
             let node = simulation.start_node(index, clock, None);
             simulation.nodes.push(node);
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Injects a fault. Indexes wrap around.
+    /// Injects a fault. Node indexes wrap around.
     pub fn inject(&mut self, fault: &Fault) {
         let count = self.node_count;
         match *fault {
@@ -142,22 +142,22 @@
             Fault::Freeze(index) => self.nodes[index % count].freeze(),
             Fault::Thaw(index) => self.nodes[index % count].thaw(),
             Fault::Kill(index) => self.nodes[index % count].kill(),
-            Fault::RestartFromNothing(index) => self.restart(index % count, None),
+            Fault::RestartWithoutState(index) => self.restart(index % count, None),
             Fault::RestartFromDisk(index) => {
                 let disk = self.nodes[index % count].disk().clone();
                 self.restart(index % count, Some(disk));
             }
-            Fault::LoseMessages(percent) => {
+            Fault::DropMessages(percent) => {
                 let ratio = f64::from(percent % MAX_LOSS_PERCENT) / 100.0;
                 self.network.set_loss_ratio(ratio);
             }
             Fault::RecoverQuorum(index) => self.recover_quorum(index % count),
-            Fault::Leave(index) => self.leave(index % count),
+            Fault::ShutDown(index) => self.shut_down(index % count),
         }
     }
 
     fn restart(&mut self, index: usize, disk: Option<DurableState>) {
-        // What the last incarnation sent still counts.
+        // The usage of the terminated incarnation still counts.
         self.past_usages.push_back(PastUsage {
             ended_at: self.now,
             usage: self.nodes[index].usage(self.now),
@@ -167,18 +167,18 @@
 
     fn recover_quorum(&mut self, index: usize) {
         let bootstrap_id = self.now.as_nanos() as u64;
-        let shown = self.local_time(index);
+        let local_time = self.local_time(index);
         let node = &mut self.nodes[index];
         if node.is_running() {
-            let _ = node.control_node.recover_quorum(shown, bootstrap_id);
+            let _ = node.control_node.recover_quorum(local_time, bootstrap_id);
         }
     }
 
-    fn leave(&mut self, index: usize) {
+    fn shut_down(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         if node.is_running() {
-            node.leave(now);
+            node.shut_down(now);
         }
     }
 
@@ -192,7 +192,7 @@
         }
     }
 
-    /// What all may have sent within the last window, if each sent all that it might at the worst moment.
+    /// The maximum total usage within the last window, if each node used its highest limit at the worst time.
     pub fn total_usage(&mut self) -> u32 {
         let now = self.now;
         while self
@@ -207,9 +207,9 @@
         current + past
     }
 
-    pub fn run(&mut self, span: Duration) {
-        let until = self.now + span;
-        while self.now < until {
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self.now < end {
             self.step();
         }
     }
@@ -233,26 +233,27 @@
             for from in 0..self.node_count {
                 let link = Link { from, to };
                 if self.nodes[from].is_running() && !self.network.is_cut(link) {
-                    self.last_heard.insert(link, self.now);
+                    self.last_contact.insert(link, self.now);
                 }
             }
         }
     }
 
     fn step_node(&mut self, index: usize) {
-        let alive = self.alive_as_seen_by(index);
-        for action in self.nodes[index].step(self.now, &alive) {
+        let live_members = self.live_members_as_seen_by(index);
+        for action in self.nodes[index].step(self.now, &live_members) {
             self.carry_out(index, action);
         }
     }
 
-    fn alive_as_seen_by(&self, to: usize) -> BTreeMap<MemberId, Member> {
-        let is_heard = |from: &usize| {
-            let heard_at = self.last_heard.get(&Link { from: *from, to });
-            heard_at.is_some_and(|at| self.now.checked_sub(*at).unwrap() < FAILURE_DETECTION_DELAY)
+    fn live_members_as_seen_by(&self, to: usize) -> BTreeMap<MemberId, Member> {
+        let had_recent_contact = |from: &usize| {
+            let contact_time = self.last_contact.get(&Link { from: *from, to });
+            contact_time
+                .is_some_and(|time| self.now.checked_sub(*time).unwrap() < FAILURE_DETECTION_DELAY)
         };
         (0..self.node_count)
-            .filter(|from| *from != to && is_heard(from))
+            .filter(|from| *from != to && had_recent_contact(from))
             .map(|from| (self.nodes[from].id, member(from, self.nodes[from].id)))
             .collect()
     }
@@ -268,34 +269,34 @@
                     sender: self.nodes[index].id,
                     message,
                 };
-                self.network.send(self.now, &mut self.random, envelope);
+                self.network.send(self.now, &mut self.rng, envelope);
             }
             Action::Write(write) => {
                 let disk = self.disk.expect("only a node with a disk writes");
                 if disk.report == WriteReport::BeforeSynced {
-                    let shown = self.local_time(index);
+                    let local_time = self.local_time(index);
                     self.nodes[index]
                         .control_node
-                        .on_write_completed(shown, write.sequence);
+                        .on_write_completed(local_time, write.sequence);
                 }
                 let max_millis = match disk.speed {
                     DiskSpeed::Fast => MAX_WRITE_MILLIS,
                     DiskSpeed::Slow => MAX_SLOW_WRITE_MILLIS,
                 };
-                let span = Duration::from_millis(self.random.random_range(0..max_millis));
-                self.nodes[index].start_write(self.now, span, write);
+                let duration = Duration::from_millis(self.rng.random_range(0..max_millis));
+                self.nodes[index].start_write(self.now, duration, write);
             }
             Action::Log(_) => {}
         }
     }
 
-    /// What a node's clock shows.
+    /// The current time by a node's clock.
     pub fn local_time(&self, index: usize) -> Timestamp {
-        self.nodes[index].clock.show(self.now)
+        self.nodes[index].clock.read(self.now)
     }
 
     /// The number of running nodes that know a leader.
-    pub fn led_node_count(&self) -> usize {
+    pub fn count_nodes_with_leader(&self) -> usize {
         self.nodes
             .iter()
             .filter(|node| node.is_running())
@@ -303,12 +304,12 @@
             .count()
     }
 
-    /// The node that leads, if any.
+    /// The index of the leader, if there is one.
     pub fn leader(&self) -> Option<usize> {
         (0..self.node_count).find(|index| self.nodes[*index].control_node.is_leader())
     }
 
-    /// The group that a node is in.
+    /// The control group that a node has joined.
     pub fn cluster_id(&self, index: usize) -> Option<ClusterId> {
         let state = self.nodes[index].control_node.state();
         state.map(|state| state.cluster_id)
--- a/crates/control/tests/sim/network.rs
+++ b/crates/control/tests/sim/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: messages take a while or get lost, and links are cut in one direction.
+//! The simulated network: messages are delayed or lost, and links are cut in one direction.
 
 use lupincrank_control::member::MemberId;
 use lupincrank_control::message::ControlMessage;
@@ -7,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A direction between two nodes, by their indexes.
+/// One direction of the link between two nodes, by node index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
     pub from: usize,
     pub to: usize,
 }
 
-/// A message on its way.
+/// A message in flight.
 pub struct Envelope {
     pub link: Link,
     /// The incarnation that sent it.
@@ -22,10 +22,10 @@
     pub message: ControlMessage,
 }
 
-/// Orders messages by arrival, then by when they were sent.
+/// Orders messages by arrival time, then by sending order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
-    at: Duration,
+    time: Duration,
     sequence: u64,
 }
 
@@ -46,7 +46,7 @@
         self.loss_ratio = ratio;
     }
 
-    /// Mends all links, and loses no more messages.
+    /// Restores all links and stops message loss.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         self.loss_ratio = 0.0;
@@ -56,23 +56,23 @@
         self.cut_links.contains(&link)
     }
 
-    pub fn send(&mut self, now: Duration, random: &mut Pcg64Mcg, envelope: Envelope) {
-        if self.loss_ratio > 0.0 && random.random::<f64>() < self.loss_ratio {
+    pub fn send(&mut self, now: Duration, rng: &mut Pcg64Mcg, envelope: Envelope) {
+        if self.loss_ratio > 0.0 && rng.random::<f64>() < self.loss_ratio {
             return;
         }
-        let delay = Duration::from_millis(random.random_range(1..60));
+        let delay = Duration::from_millis(rng.random_range(1..60));
         self.sent_count += 1;
         let arrival = Arrival {
-            at: now + delay,
+            time: now + delay,
             sequence: self.sent_count,
         };
         self.in_flight.insert(arrival, envelope);
     }
 
-    /// The next message that has arrived by now.
+    /// Returns the next message that has arrived by `now`.
     pub fn next_arrived(&mut self, now: Duration) -> Option<Envelope> {
         while let Some(first) = self.in_flight.first_entry() {
-            if first.key().at > now {
+            if first.key().time > now {
                 return None;
             }
             let envelope = first.remove();
--- a/crates/control/tests/sim/node.rs
+++ b/crates/control/tests/sim/node.rs
@@ -1,4 +1,4 @@
-//! One simulated node: a control node with a clock, a disk and an inbox of its own.
+//! One simulated node: a control node with its own clock, disk and inbox.
 
 use super::{CAPACITY, FLOOR};
 use lupincrank_budgets::demand::BudgetUsage;
@@ -11,37 +11,37 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The window over which the simulated budget counts.
+/// The window over which the simulated budget counts usage.
 const BUDGET_WINDOW: Duration = Duration::from_secs(1);
-/// How long a node that leaves is waited for.
+/// The maximum duration of a graceful shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Limits that are remembered: more than there are steps in the budget's window.
+/// The number of recorded limits to keep: more than the number of steps in the budget's window.
 const MAX_LIMITS: usize = 64;
 
-/// A clock that runs at a rate of its own.
+/// A clock with its own rate.
 #[derive(Clone, Copy)]
 pub struct Clock {
     pub rate: f64,
-    /// What it shows at the start of the simulation, in nanoseconds.
+    /// The reading of the clock at the start of the simulation, in nanoseconds.
     pub offset: u64,
 }
 
 impl Clock {
-    pub fn show(&self, now: Duration) -> Timestamp {
+    pub fn read(&self, now: Duration) -> Timestamp {
         Timestamp(self.offset + (now.as_nanos() as f64 * self.rate) as u64)
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Condition {
+enum ProcessState {
     Running,
     Frozen,
-    Dead,
+    Stopped,
 }
 
-/// A limit, and when it was last in force, by real time.
+/// A limit, and the time at which it was in force, by the simulation's time.
 struct RecordedLimit {
-    at: Duration,
+    recorded_at: Duration,
     limit: u32,
 }
 
@@ -56,14 +56,14 @@
     message: ControlMessage,
 }
 
-/// What an incarnation starts with.
+/// The input for starting an incarnation.
 pub struct NodeStart {
     pub index: usize,
     pub node_count: usize,
     pub now: Duration,
     pub clock: Clock,
     pub lease_terms: LeaseTerms,
-    /// What is on its disk; the start counts as one more.
+    /// The content of the node's disk. The start increments its start count.
     pub disk: DurableState,
     pub has_disk: bool,
 }
@@ -72,7 +72,7 @@
     pub control_node: ControlNode,
     pub id: MemberId,
     pub clock: Clock,
-    condition: Condition,
+    state: ProcessState,
     last_tick: Duration,
     limits: VecDeque<RecordedLimit>,
     inbox: VecDeque<ReceivedMessage>,
@@ -110,7 +110,7 @@
         };
         let id = disk.member_id;
         let control_node = ControlNode::new(
-            start.clock.show(start.now),
+            start.clock.read(start.now),
             member(start.index, id),
             control_config(start.node_count, start.lease_terms),
             start.has_disk.then_some(&disk),
@@ -120,7 +120,7 @@
             control_node,
             id,
             clock: start.clock,
-            condition: Condition::Running,
+            state: ProcessState::Running,
             last_tick: start.now,
             limits: VecDeque::new(),
             inbox: VecDeque::new(),
@@ -131,32 +131,32 @@
     }
 
     pub fn is_running(&self) -> bool {
-        self.condition == Condition::Running
+        self.state == ProcessState::Running
     }
 
     pub fn freeze(&mut self) {
-        if self.condition == Condition::Running {
-            self.condition = Condition::Frozen;
+        if self.state == ProcessState::Running {
+            self.state = ProcessState::Frozen;
         }
     }
 
     pub fn thaw(&mut self) {
-        if self.condition == Condition::Frozen {
-            self.condition = Condition::Running;
+        if self.state == ProcessState::Frozen {
+            self.state = ProcessState::Running;
         }
     }
 
     pub fn kill(&mut self) {
-        self.condition = Condition::Dead;
+        self.state = ProcessState::Stopped;
     }
 
     /// Shuts down gracefully.
-    pub fn leave(&mut self, now: Duration) {
-        self.control_node.begin_leaving(self.clock.show(now));
+    pub fn shut_down(&mut self, now: Duration) {
+        self.control_node.begin_leaving(self.clock.read(now));
         self.shutdown_deadline = Some(now + SHUTDOWN_TIMEOUT);
     }
 
-    /// What is on its disk by now.
+    /// The current content of the node's disk.
     pub fn disk(&self) -> &DurableState {
         &self.disk
     }
@@ -165,33 +165,37 @@
         self.inbox.push_back(ReceivedMessage { from, message });
     }
 
-    /// Starts a write that takes this long, once the ones before it are synced.
-    pub fn start_write(&mut self, now: Duration, span: Duration, write: LogWrite) {
+    /// Starts a write that takes this long. It is not synced before earlier writes are.
+    pub fn start_write(&mut self, now: Duration, duration: Duration, write: LogWrite) {
         let last_synced_at = self.unsynced.back().map_or(now, |last| last.synced_at);
         self.unsynced.push_back(UnsyncedWrite {
-            synced_at: last_synced_at.max(now + span),
+            synced_at: last_synced_at.max(now + duration),
             write,
         });
     }
 
-    /// Goes on in time; returns what is to be carried out.
-    pub fn step(&mut self, now: Duration, alive: &BTreeMap<MemberId, Member>) -> Vec<Action> {
+    /// Advances the node to `now`. Returns the actions to carry out.
+    pub fn step(
+        &mut self,
+        now: Duration,
+        live_members: &BTreeMap<MemberId, Member>,
+    ) -> Vec<Action> {
         if self.is_shutdown_complete(now) {
             self.kill();
             return Vec::new();
         }
-        let shown = self.clock.show(now);
+        let local_time = self.clock.read(now);
         self.complete_writes(now);
         while let Some(received) = self.inbox.pop_front() {
             self.control_node
-                .on_message(shown, received.from, received.message);
+                .on_message(local_time, received.from, received.message);
         }
         if now.saturating_sub(self.last_tick) >= TICK_INTERVAL {
             self.last_tick = now;
-            self.use_all_of_the_limit();
-            self.control_node.on_tick(shown, alive);
+            self.use_whole_limit();
+            self.control_node.on_tick(local_time, live_members);
         }
-        self.control_node.deliver_own_messages(shown);
+        self.control_node.deliver_own_messages(local_time);
         let actions = self.control_node.take_actions();
         self.record_limit(now);
         actions
@@ -203,7 +207,7 @@
     }
 
     fn complete_writes(&mut self, now: Duration) {
-        let shown = self.clock.show(now);
+        let local_time = self.clock.read(now);
         while self
             .unsynced
             .front()
@@ -213,12 +217,13 @@
                 break;
             };
             self.disk.apply(&write);
-            self.control_node.on_write_completed(shown, write.sequence);
+            self.control_node
+                .on_write_completed(local_time, write.sequence);
         }
     }
 
-    /// Each node uses all that it may, and would use more.
-    fn use_all_of_the_limit(&mut self) {
+    /// Each node uses its whole limit and reports that the limit caused rejections.
+    fn use_whole_limit(&mut self) {
         let highest = self.limits.iter().map(|recorded| recorded.limit).max();
         self.control_node.record_usage(BudgetUsage {
             peak: highest.unwrap_or(0),
@@ -226,28 +231,31 @@
         });
     }
 
-    /// What it may use from now on: it is not frozen, so it reads the limit before it sends.
+    /// Records the limit in force. The node is not frozen, so it reads the limit before using it.
     fn record_limit(&mut self, now: Duration) {
-        let shown = self.clock.show(now);
-        let limit = self.control_node.lease_limit(shown).limit;
-        self.limits.push_back(RecordedLimit { at: now, limit });
+        let local_time = self.clock.read(now);
+        let limit = self.control_node.lease_limit(local_time).limit;
+        self.limits.push_back(RecordedLimit {
+            recorded_at: now,
+            limit,
+        });
         while self.limits.len() > MAX_LIMITS {
             self.limits.pop_front();
         }
     }
 
-    /// The most that it may have sent within the last window.
+    /// The maximum usage of the node within the last window.
     pub fn usage(&self, now: Duration) -> u32 {
         self.limits
             .iter()
-            .filter(|recorded| is_within_window(now, recorded.at))
+            .filter(|recorded| is_within_window(now, recorded.recorded_at))
             .map(|recorded| recorded.limit)
             .max()
             .unwrap_or(0)
     }
 }
 
-/// Whether what was sent then still counts.
+/// Returns true if usage at the time `then` still counts.
 pub fn is_within_window(now: Duration, then: Duration) -> bool {
     now.saturating_sub(then) <= BUDGET_WINDOW
 }
--- a/crates/control/tests/stored_formats.rs
+++ b/crates/control/tests/stored_formats.rs
@@ -1,5 +1,6 @@
-//! Bytes on the wire and on the disk, and the keys of the printed status: the files under `fixtures/` were written by
-//! revision c925b3d, before the types were renamed. Each is read to the expected value and written to the same bytes.
+//! Checks the encoding on the wire and on disk, and the keys of the printed status. The files under `fixtures/` were
+//! written by revision c925b3d, which used other type names. Each must decode to the expected value and encode to the
+//! same bytes.
 
 use lupincrank_budgets::demand::BudgetUsage;
 use lupincrank_control::durable::DurableState;
@@ -23,7 +24,7 @@
     epoch: 3,
     bootstrap_id: 0x1234_5678_9abc_def0,
 };
-/// The incarnation that wrote the stored log.
+/// The id of the incarnation that wrote the stored log.
 const STORED_MEMBER_ID: u64 = 0x2a;
 
 fn fixture(name: &str) -> Vec<u8> {
@@ -183,7 +184,7 @@
     assert_eq!(json.as_bytes(), fixture("status.json"));
 }
 
-/// What the only node of a cluster left on its disk.
+/// The disk content of the only node of a cluster.
 fn stored_log() -> DurableState {
     type Entries = BTreeMap<u64, Vec<u8>>;
     type Stored = (
@@ -206,7 +207,7 @@
     }
 }
 
-/// A cluster of one node that writes to a disk.
+/// A cluster of one node with a disk.
 struct SingleNode {
     control_node: ControlNode,
     disk: DurableState,
@@ -238,14 +239,15 @@
     }
 
     fn run(&mut self, ticks: u64) {
-        let alive = BTreeMap::from([(STORED_MEMBER_ID, member(STORED_MEMBER_ID, "n1", "z1"))]);
+        let live_members =
+            BTreeMap::from([(STORED_MEMBER_ID, member(STORED_MEMBER_ID, "n1", "z1"))]);
         for _ in 0..ticks {
             self.now = self.now.saturating_add(Duration::from_millis(100));
             self.control_node.record_usage(BudgetUsage {
                 peak: 5,
                 was_limited: true,
             });
-            self.control_node.on_tick(self.now, &alive);
+            self.control_node.on_tick(self.now, &live_members);
             self.complete_writes();
         }
     }
@@ -287,7 +289,7 @@
     assert_eq!(state.cluster_id, expected.cluster_id);
     assert_eq!(state.capacity, expected.capacity);
     assert_eq!(state.members, expected.members);
-    // Nothing but grants was written since.
+    // Only grants were applied since then.
     let new_grants = state.grant_count - expected.grant_count;
     assert_eq!(state.applied_entries, expected.applied_entries + new_grants);
 }
@@ -301,7 +303,7 @@
     damage(&mut stored);
     let error = resume(&stored).err().expect("an error");
     assert_eq!(error, ControlError::InconsistentStoredLog);
-    assert_eq!(error.to_string(), "the log on the disk contradicts itself");
+    assert_eq!(error.to_string(), "the stored log is inconsistent");
 }
 
 #[test]
