--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -100,12 +100,12 @@
 /// Divides the units evenly among these claims. `rotation` determines which claims get one of the leftover units.
 fn share_evenly(units: u32, claim_indexes: &[usize], rotation: u64, shares: &mut [u32]) {
     let claim_count = u32::try_from(claim_indexes.len()).unwrap_or(u32::MAX);
-    let each = units / claim_count;
-    let leftover = (units - each * claim_count) as usize;
+    let even_share = units / claim_count;
+    let leftover = (units - even_share * claim_count) as usize;
     for (position, index) in claim_indexes.iter().enumerate() {
         let rotated = (position as u64 + rotation) % claim_indexes.len() as u64;
         let gets_extra = (rotated as usize) < leftover;
-        shares[*index] = each + u32::from(gets_extra);
+        shares[*index] = even_share + u32::from(gets_extra);
     }
 }
 
--- a/crates/control/src/control_node/bootstrap.rs
+++ b/crates/control/src/control_node/bootstrap.rs
@@ -56,7 +56,7 @@
         self.announced.is_some()
     }
 
-    fn drop_old_answers(&mut self, now: Timestamp) {
+    fn drop_expired_answers(&mut self, now: Timestamp) {
         self.answers.retain(|_, answer| {
             now.saturating_duration_since(answer.received_at) < BOOTSTRAP_ANSWER_TTL
         });
@@ -77,7 +77,7 @@
     /// Queries the other nodes for their group, and forms a group if a majority is present and none of them knows a
     /// group.
     pub(super) fn advance_bootstrap(&mut self, now: Timestamp) {
-        self.bootstrap_progress.drop_old_answers(now);
+        self.bootstrap_progress.drop_expired_answers(now);
         if !self.has_lowest_name() || !self.bootstrap_progress.is_send_due(now) {
             return;
         }
--- a/crates/control/src/lease/grant_clocks.rs
+++ b/crates/control/src/lease/grant_clocks.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The leases whose usage does not count any more, even if the holder's clock is slow by the maximum drift.
+    /// The leases whose usage no longer counts, even if the holder's clock is slow by the maximum drift.
     pub fn expired_grants(&self, now: Timestamp, terms: &LeaseTerms) -> Vec<GrantId> {
         let safe_expiry = terms.safe_expiry();
         self.first_seen
--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -56,7 +56,7 @@
     /// the previous incarnation of the same name still counts until then.
     ///
     /// `start_count` is the number of processes that have run as this incarnation, 0 without persistence. From the
-    /// second process on, the first request waits until the usage of earlier processes does not count any more.
+    /// second process on, the first request waits until the usage of earlier processes no longer counts.
     pub fn new(terms: &LeaseTerms, now: Timestamp, floor: u32, start_count: u32) -> LeaseHolder {
         let floor_available_at = now.saturating_add(terms.accounting_window);
         LeaseHolder {
--- a/crates/control/src/lease_granter.rs
+++ b/crates/control/src/lease_granter.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// The leases whose usage does not count any more: those that expired, and those that leaving members have released.
+/// The leases whose usage no longer counts: those that expired, and those that leaving members have released.
 fn expired_leases(log: &RaftLog, context: &GrantContext) -> Vec<GrantId> {
     let mut expired = log
         .grant_clocks()
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -180,8 +180,8 @@
             .reliable_voters()
             .filter(|id| *id != self.leader)
             .max_by_key(|id| (self.votes_in_zone(self.zone(*id)), *id))?;
-        let is_spare = self.votes_in_zone(self.zone(surplus)) > 1;
-        (is_spare && !self.zone(without_vote).is_empty() && self.is_removable(surplus))
+        let can_spare_vote = self.votes_in_zone(self.zone(surplus)) > 1;
+        (can_spare_vote && !self.zone(without_vote).is_empty() && self.is_removable(surplus))
             .then_some(MembershipChange::Demote(surplus))
     }
 
--- a/crates/control/tests/model/system.rs
+++ b/crates/control/tests/model/system.rs
@@ -40,7 +40,7 @@
         limits.max().unwrap_or(0)
     }
 
-    /// Uses the whole limit unless the holder is frozen, and drops usage that does not count any more.
+    /// Uses the whole limit unless the holder is frozen, and drops usage that no longer counts.
     pub fn record_usage(&mut self, now: Timestamp, step: u64) {
         if !self.is_frozen {
             self.usages.push(Usage {
