--- a/crates/adapter/src/input.rs
+++ b/crates/adapter/src/input.rs
@@ -135,7 +135,7 @@
             "UPDATE" => self.endpoint_update()?,
             "ACCEPT" => Event::RequestReceived(self.request_info()?),
             "RESUMED" => self.inherited_connection()?,
-            "CANCELLED_BY_CLIENT" => Event::ClientGone(request_id(self.request)?),
+            "CANCELLED_BY_CLIENT" => Event::ClientDisconnected(request_id(self.request)?),
             "ESTABLISHED" => Event::ConnectionEstablished {
                 request: request_id(self.request)?,
                 setup_duration: Duration::from_nanos(self.setup_duration_ns.unwrap_or(0)),
--- a/crates/node/src/placement_driver/attempts.rs
+++ b/crates/node/src/placement_driver/attempts.rs
@@ -171,7 +171,7 @@
         };
         active.finish();
         let is_in_flight = active.server.is_some();
-        self.feed(Event::ClientGone(request));
+        self.feed(Event::ClientDisconnected(request));
         if is_in_flight {
             self.on_attempt_ended(request, Outcome::Cancelled, ClientState::Answered);
         } else {
--- a/crates/placement/src/api/action.rs
+++ b/crates/placement/src/api/action.rs
@@ -1,9 +1,9 @@
-//! What a balancer wants its proxy to do.
+//! The actions that a balancer requests of its proxy.
 
 use crate::api::{RequestId, ServerId, Timer};
 use std::time::Duration;
 
-/// An instruction to the proxy, to be carried out in the order in which a batch lists them.
+/// An instruction to the proxy. The actions of a batch are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to the server, and end the attempt with [`Outcome::TimedOut`](crate::Outcome::TimedOut) if no
@@ -37,9 +37,9 @@
     SetTimer {
         /// Time until it fires.
         after: Duration,
-        /// What it is for.
+        /// The purpose of the timer.
         timer: Timer,
     },
-    /// Start, or start again, to watch service discovery for endpoint changes.
+    /// Start or restart the watch for endpoint changes at service discovery.
     WatchEndpoints,
 }
--- a/crates/placement/src/api/endpoint.rs
+++ b/crates/placement/src/api/endpoint.rs
@@ -2,15 +2,15 @@
 
 use crate::api::{ServerId, Timestamp};
 
-/// Whether a server takes new connections, as service discovery says.
+/// The readiness of a server for new connections, as service discovery reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// Takes new connections.
+    /// Accepts new connections.
     #[default]
     Ready,
-    /// Finishes the work that it has and takes no new connections.
+    /// Serves its present connections and accepts no new ones.
     Draining,
-    /// Removed from the list.
+    /// Removed from the endpoint list.
     Removed,
 }
 
@@ -19,7 +19,7 @@
 pub struct Endpoint {
     /// The server that the entry describes.
     pub server: ServerId,
-    /// Whether it takes new connections.
+    /// Whether it accepts new connections.
     pub health: Health,
     /// Its capacity relative to other servers; an estimate, not a measurement.
     pub weight: f64,
--- a/crates/placement/src/api/event.rs
+++ b/crates/placement/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What a proxy tells its balancer.
+//! The events that a proxy passes to its balancer.
 
 use crate::api::{
     Endpoint, Outcome, RequestId, RequestInfo, ServerId, Settings, SlowStartLease, Timer,
@@ -7,23 +7,23 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// An observation of the proxy or a change of what it is told to do.
+/// An observation of the proxy, or a change of its configuration.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The balancer starts: always the first event. It begins to watch endpoints and sets its first timers.
+    /// The balancer starts. This is always the first event: it starts the endpoint watch and sets the first timers.
     Start,
-    /// The complete endpoint list: servers that are not on it are removed.
+    /// The complete endpoint list: servers that it does not contain are removed.
     EndpointList {
         /// All endpoints.
         entries: Vec<Endpoint>,
-        /// Whether the list was stored by an earlier process and may be out of date.
+        /// Whether the list was stored by an earlier process, so that it may be out of date.
         cached: bool,
     },
     /// Endpoints that were added or changed.
     EndpointChange(Vec<Endpoint>),
     /// A call to service discovery failed, or the endpoint watch was closed.
     EndpointWatchFailed,
-    /// The endpoint watch is still open, but nothing has come on it for too long.
+    /// The endpoint watch is still open, but has received nothing for too long.
     EndpointWatchStalled,
     /// A client's request was received.
     RequestReceived(RequestInfo),
@@ -38,31 +38,31 @@
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request of which it was an attempt.
+        /// The request that the attempt was made for.
         request: RequestId,
         /// The attempt's index, from 0.
         attempt: u32,
-        /// How it ended.
+        /// The result of the attempt.
         outcome: Outcome,
-        /// Whether the request is finished, so that no further attempt is wanted.
+        /// Whether the request is finished and needs no further attempt.
         done: bool,
-        /// The server's load report, if one came with the answer.
+        /// The server's load report, if the answer carried one.
         report: Option<Vec<f64>>,
     },
     /// The client closed its connection.
-    ClientGone(RequestId),
-    /// The process is about to end: the request must get its final answer now, whatever its attempts do.
+    ClientDisconnected(RequestId),
+    /// The process is about to exit: the request must get its final answer without waiting for its attempts.
     ShutdownDeadline {
-        /// The request to finish.
+        /// The request to end.
         request: RequestId,
-        /// Whether a part of its present attempt was already sent.
+        /// Whether any part of its present attempt was already sent.
         sent: bool,
     },
     /// The load of an established connection was measured.
     LoadObserved {
         /// The request that established the connection.
         request: RequestId,
-        /// The load: CPU time of a standard core for each second.
+        /// The load: seconds of CPU time on a standard core per second.
         load: Duration,
     },
     /// The latency of messages on an established connection's server was measured.
@@ -72,9 +72,10 @@
         /// The latency of one message.
         delay: Duration,
     },
-    /// Messages on an established connection have been unanswered for so long that the connection is of no use.
+    /// Messages on an established connection have been unanswered for so long that the connection is considered
+    /// failed.
     ConnectionUnresponsive(RequestId),
-    /// No established connection on this server is answered any more.
+    /// None of the established connections to this server is answered.
     ServerUnresponsive(ServerId),
     /// A health check of [`Action::CheckHealth`](crate::Action::CheckHealth) ended.
     HealthCheckCompleted {
@@ -82,26 +83,26 @@
         server: ServerId,
         /// Whether it passed.
         passed: bool,
-        /// The server's load report, if one came with the result.
+        /// The server's load report, if the result carried one.
         report: Option<Vec<f64>>,
     },
     /// A message from another node's [`Action::Gossip`](crate::Action::Gossip).
     Gossip(String),
-    /// New settings for requests received from now on. Requests and connections that exist keep the settings under which
-    /// they were received.
+    /// New settings for requests received after this event. Existing requests and connections keep the settings under
+    /// which they were received.
     SettingsChanged {
         /// The new settings.
         settings: Settings,
         /// For each class of the new settings, its index in the old ones; `None` if it is new.
         previous_class_indices: Vec<Option<usize>>,
     },
-    /// The node's lease on the fleet's slow-start budget changed. `None` if the fleet does not divide that budget: then
-    /// the node takes an even share by [`Settings::node_count`].
+    /// The node's lease on the fleet's slow-start budget changed. With `None` the fleet does not divide that budget,
+    /// and the node takes an even share by [`Settings::node_count`].
     LeaseChanged(Option<SlowStartLease>),
-    /// What the process that this one replaces had learned of its servers.
+    /// The state that the process replaced by this one had learned about its servers.
     LearnedState(Vec<LearnedServer>),
-    /// From now on exactly these servers are drained by an administrator, whatever the endpoint list says: they get no
-    /// new connections and their established ones are migrated. A server that is released counts as just started.
+    /// The set of servers that an administrator drains, whatever the endpoint list reports: they get no new
+    /// connections, and their established ones are migrated. A server that is released counts as just started.
     AdminDrain(BTreeSet<ServerId>),
     /// A timer of [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired(Timer),
--- a/crates/placement/src/api/mod.rs
+++ b/crates/placement/src/api/mod.rs
@@ -1,6 +1,7 @@
-//! The types that cross the boundary of the crate: what a proxy tells a balancer and what the balancer wants done.
+//! The types that cross the boundary of the crate: the events that a proxy passes to a balancer, and the actions that
+//! the balancer returns.
 //!
-//! They hold data and the arithmetic that belongs to it, and no decision.
+//! They contain data and the arithmetic that belongs to it, but no decisions.
 
 mod action;
 mod endpoint;
--- a/crates/placement/src/api/request.rs
+++ b/crates/placement/src/api/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and how an attempt to serve it can end.
+//! A client's request, and the results of attempts to serve it.
 
 use crate::api::{RequestId, Timestamp};
 use std::time::Duration;
@@ -12,36 +12,37 @@
     pub class: usize,
     /// The tenant to which it belongs: an index into [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: Option<usize>,
-    /// The group to which it belongs; members of a group share work when they are on one server.
+    /// The group to which it belongs; members of a group share work if they are on the same server.
     pub group: Option<String>,
-    /// The key by which its server is ranked first.
+    /// The client's key. Servers are ranked by it if the request belongs to no group.
     pub key: Option<String>,
-    /// Expected load: CPU time of a standard core for each second that the connection is open.
+    /// Expected load: seconds of CPU time on a standard core per second that the connection is open.
     pub load: Option<Duration>,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Timestamp,
-    /// Whether packets of an already open connection came here; only the server that holds the connection can go on with it.
+    /// Whether packets of an already open connection arrived here; only the server that holds the connection can
+    /// continue it.
     pub is_mid_flow: bool,
     /// Whether the client reconnects after a failure or a migration.
     pub is_reconnect: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The server served it.
+    /// The server served the request.
     Served,
     /// The server answered with an error; the request may have been executed.
     Error,
-    /// The server rejected it before execution: it is full or draining.
+    /// The server rejected the request before execution, because it is full or draining.
     Rejected,
-    /// No answer came in time; the request may have been executed.
+    /// No answer was received in time; the request may have been executed.
     TimedOut,
-    /// No connection could be made; the request was not executed.
+    /// No connection could be established; the request was not executed.
     ConnectFailed,
-    /// The connection was made and closed before the request was sent; it was not executed.
+    /// The connection was established and closed before the request was sent; the request was not executed.
     ClosedBeforeSend,
-    /// The connection was closed after the request was sent; it may have been executed.
+    /// The connection was closed after the request was sent; the request may have been executed.
     Reset,
     /// The proxy cancelled the attempt; the request may have been executed.
     Cancelled,
@@ -50,7 +51,7 @@
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt was not executed.
+    /// Returns true if this outcome proves that the attempt was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
--- a/crates/placement/src/api/settings.rs
+++ b/crates/placement/src/api/settings.rs
@@ -1,8 +1,8 @@
-//! The settings of a deployment: request classes, tenants, limits and the obligations that a balancer keeps.
+//! The settings of a deployment: request classes, tenants, limits, and the guarantees that a balancer keeps.
 
 use std::time::Duration;
 
-/// Whether a request may be sent again after an attempt that may have been executed.
+/// The conditions for sending a request again after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// Executing the request twice is harmless.
@@ -11,14 +11,14 @@
     IdempotencyKey {
         /// The servers that share a deduplication record.
         scope: IdempotencyScope,
-        /// How long a server remembers a key, counted from the send of an attempt.
+        /// The time for which a server remembers a key, from the send of an attempt.
         window: Duration,
     },
     /// The request must not be executed twice.
     NotIdempotent,
 }
 
-/// The servers among which an idempotency key is remembered.
+/// The servers that share the record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All servers.
@@ -32,22 +32,24 @@
 /// A class of requests with its latency objectives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Latency objective for setting a connection up, measured from the client's request.
+    /// Latency objective for a connection setup, measured from the client's request.
     pub setup_objective: Duration,
     /// Latency objective for the answer to a message on an established connection; zero if there is none.
     pub message_objective: Duration,
-    /// Whether its requests may be sent again after a possible execution.
+    /// The conditions for sending its requests again after a possible execution.
     pub retry_safety: RetrySafety,
 }
 
 /// A tenant with its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Open connections over all nodes that the tenant may hold under load; `None` if it has no quota.
+    /// The number of open connections, over all nodes, that the tenant may hold under load; `None` if it has no
+    /// quota.
     pub connection_quota: Option<f64>,
 }
 
-/// What a balancer is told of its deployment, at the start or with [`Event::SettingsChanged`](crate::Event::SettingsChanged).
+/// The configuration of a balancer, passed at the start or with
+/// [`Event::SettingsChanged`](crate::Event::SettingsChanged).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Nodes of this tier, this one included.
@@ -62,24 +64,25 @@
     pub gossip_allowed: bool,
     /// Whether servers may be health-checked ([`Action::CheckHealth`](crate::Action::CheckHealth)).
     pub health_checks_allowed: bool,
-    /// What one health check for each request would cost, in points of the result; zero if health checks are free.
+    /// The cost of one health check per request, in points of the deployment's score; zero if health checks are free.
     pub health_check_cost: f64,
-    /// Index, in a load report, of the utilization (load over capacity); `None` if reports hold none.
+    /// Index of the utilization (load over capacity) in a load report; `None` if reports do not contain it.
     pub utilization_field: Option<usize>,
-    /// Whether endpoint changes come only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints); otherwise
-    /// they come unasked.
+    /// Whether endpoint changes are sent only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints);
+    /// otherwise they are sent without a request.
     pub requires_endpoint_watch: bool,
-    /// How long after the news that a server drains or is removed requests may still be sent to it.
+    /// The time for which requests may still be sent to a server after the endpoint list reports it as draining or
+    /// removed.
     pub drain_grace: Duration,
-    /// How long after its start a server warms up.
+    /// The time for which a server is warming up after its start.
     pub slow_start_duration: Duration,
-    /// The least share of its full capacity that a server starts with, 0 to 1.
+    /// The minimum fraction of its full capacity that a server has at its start, 0 to 1.
     pub initial_capacity_ratio: f64,
-    /// The multiple of its present capacity at which a server that warms up fails ...
+    /// A server that is warming up fails from overload at this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... if it is kept up for this long.
+    /// ... if the load lasts for this long.
     pub overload_window: Duration,
-    /// The longest `Retry-After` that clients obey; zero if they are not given any.
+    /// The longest `Retry-After` that clients obey; zero if they are sent none.
     pub max_retry_after: Duration,
 }
 
--- a/crates/placement/src/api/timer.rs
+++ b/crates/placement/src/api/timer.rs
@@ -1,15 +1,15 @@
 //! The timers that a balancer sets.
 
-/// What a timer is for.
+/// The purpose of a timer.
 ///
-/// Several timers of one kind may be set side by side; each of them fires.
+/// Several timers of one kind may be set at the same time; each of them fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
     /// Periodic upkeep.
     Upkeep,
     /// A delayed call to service discovery.
     EndpointWatch,
-    /// A look at the requests that wait for a server.
+    /// A pass over the queued requests.
     Queue,
     /// The next step of migrating connections away from drained servers.
     AdminDrain,
@@ -23,7 +23,8 @@
         Timer::AdminDrain,
     ];
 
-    /// The number that stands for the kind where timers are written as numbers. It never changes.
+    /// Returns the number that represents the timer in protocols that write timers as numbers. The numbers are
+    /// stable.
     pub fn handle(self) -> u64 {
         match self {
             Timer::Upkeep => 1,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The kind for which a number stands; `None` for a number that stands for none.
+    /// Returns the timer that the number represents, if any.
     pub fn from_handle(handle: u64) -> Option<Timer> {
         Timer::ALL
             .into_iter()
--- a/crates/placement/src/balancer.rs
+++ b/crates/placement/src/balancer.rs
@@ -1,4 +1,5 @@
-//! The balancer of one node: its state, each part of which is kept by a module of its own. `events` feeds it.
+//! The balancer of one node: its state, each part of which is maintained by a module of its own. The module `events`
+//! passes events to it.
 
 use crate::admin_drain::AdminDrain;
 use crate::hashing::random_fraction;
@@ -25,8 +26,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The random stream for what the nodes of a fleet divide among themselves.
-const FLEET_RANDOM_STREAM: u64 = 1;
+/// The random stream for decisions that the nodes of a fleet divide among themselves.
+const FLEET_RNG_STREAM: u64 = 1;
 
 pub(crate) type Actions = Vec<Action>;
 
@@ -35,15 +36,15 @@
     pub(crate) settings: Settings,
     /// The shortest message objective of any class.
     pub(crate) min_message_objective: Duration,
-    pub(crate) jitter_random: Pcg32,
-    /// Beside that of the jitter, so that neither shifts the other.
-    pub(crate) fleet_random: Pcg32,
+    pub(crate) jitter_rng: Pcg32,
+    /// Separate from the generator of the jitter, so that neither affects the numbers of the other.
+    pub(crate) fleet_rng: Pcg32,
     pub(crate) poll_schedule: PollSchedule,
     pub(crate) admin_drain: AdminDrain,
     pub(crate) drain_timer: SingleTimer,
     pub(crate) fleet: Fleet,
     pub(crate) requests: HashMap<RequestId, RequestState>,
-    /// Requests that wait for a setup, the oldest first.
+    /// Requests that wait for a connection setup, oldest first.
     pub(crate) queue: VecDeque<RequestId>,
     pub(crate) queue_timer: SingleTimer,
     pub(crate) setup_window: SetupWindow,
@@ -61,14 +62,14 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. The same seed and events give the same actions.
+    /// Creates a balancer without any servers. The same seed and events always give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut fleet_random = Pcg32::new(seed, FLEET_RANDOM_STREAM);
-        let slow_start_threshold = random_fraction(&mut fleet_random);
+        let mut fleet_rng = Pcg32::new(seed, FLEET_RNG_STREAM);
+        let slow_start_threshold = random_fraction(&mut fleet_rng);
         Balancer {
             min_message_objective: settings.min_message_objective(),
-            jitter_random: Pcg32::seed_from_u64(seed),
-            fleet_random,
+            jitter_rng: Pcg32::seed_from_u64(seed),
+            fleet_rng,
             poll_schedule: PollSchedule::new(settings.node_count),
             admin_drain: AdminDrain::default(),
             drain_timer: SingleTimer::new(Timer::AdminDrain),
@@ -92,23 +93,23 @@
         }
     }
 
-    /// Which servers an administrator drains, and which are known.
+    /// Returns the servers that an administrator drains, and the known endpoints.
     pub fn admin_drain(&self) -> &AdminDrain {
         &self.admin_drain
     }
 
-    /// What it has learned of its servers, for a process that takes its place.
+    /// Returns the learned state of the servers, for a process that replaces this one.
     pub fn learned_state(&self, now: Timestamp) -> Vec<LearnedServer> {
         self.fleet.learned_state(now)
     }
 
-    /// Draws a number from 0 up to 1.
+    /// Returns a random number from 0 up to 1.
     pub(crate) fn jitter(&mut self) -> f64 {
-        random_fraction(&mut self.jitter_random)
+        random_fraction(&mut self.jitter_rng)
     }
 
-    /// Changes the settings. What was learned of a class follows it to its new position, and requests that are there
-    /// keep the rules under which they came.
+    /// Changes the settings. The load estimate of a class follows the class to its new index, and existing requests
+    /// keep the rules under which they were received.
     pub(crate) fn apply_settings(
         &mut self,
         settings: Settings,
@@ -116,10 +117,10 @@
     ) {
         self.load_estimates.rearrange(previous_class_indices);
         for request in self.requests.values_mut() {
-            let position = previous_class_indices
+            let index = previous_class_indices
                 .iter()
                 .position(|previous| *previous == Some(request.class));
-            request.class = position.unwrap_or(usize::MAX);
+            request.class = index.unwrap_or(usize::MAX);
         }
         self.poll_schedule.set_node_count(settings.node_count);
         self.setup_window.set_node_count(settings.node_count);
--- a/crates/placement/src/cost_tests.rs
+++ b/crates/placement/src/cost_tests.rs
@@ -1,4 +1,4 @@
-//! What a decision costs, counted in rows of the server table that are read, not in time.
+//! The cost of decisions, measured in rows of the server table that are read, not in time.
 
 use crate::state::server_table::ROWS_READ;
 use crate::*;
@@ -31,7 +31,7 @@
     }
 }
 
-fn incoming(id: u64) -> RequestInfo {
+fn request_info(id: u64) -> RequestInfo {
     RequestInfo {
         request: RequestId(id),
         class: 0,
@@ -45,7 +45,7 @@
     }
 }
 
-fn listed(number: u64) -> Endpoint {
+fn endpoint(number: u64) -> Endpoint {
     Endpoint {
         server: format!("10.0.{}.{}:80", number / 250, number % 250)
             .as_str()
@@ -59,11 +59,12 @@
     }
 }
 
-/// A node that gets a connection a second for twenty seconds, late messages and resets among them.
+/// Counts the rows that a node reads while it receives a connection a second for twenty seconds, some with late
+/// messages or resets.
 fn rows_read(servers: u64) -> u64 {
     let mut balancer = Balancer::new(settings(), 1);
     let mut actions = Vec::new();
-    let entries = (0..servers).map(listed).collect();
+    let entries = (0..servers).map(endpoint).collect();
     balancer.handle(
         Timestamp(0),
         Event::EndpointList {
@@ -76,7 +77,7 @@
     for id in 1..=20 {
         let now = Timestamp(id * SECOND);
         let request = RequestId(id);
-        balancer.handle(now, Event::RequestReceived(incoming(id)), &mut actions);
+        balancer.handle(now, Event::RequestReceived(request_info(id)), &mut actions);
         assert!(
             matches!(actions.last(), Some(Action::StartAttempt { .. })),
             "placed at once"
@@ -118,7 +119,8 @@
     ROWS_READ.get()
 }
 
-/// At a request a second a node's upkeep cost as much as its requests, since both walked all servers.
+/// When placement and upkeep both walked all servers, a node's upkeep at one request a second cost as much as its
+/// requests.
 #[test]
 fn the_rows_that_a_node_reads_follow_its_connections_not_the_size_of_the_fleet() {
     let (small, large) = (rows_read(30), rows_read(900));
--- a/crates/placement/src/endpoints.rs
+++ b/crates/placement/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: when it is asked for, and how its changes are applied.
+//! The endpoint list: its watch at service discovery, and the application of its changes.
 
 use crate::balancer::{Actions, Balancer};
 use crate::hashing::{random_fraction, server_hash};
@@ -8,21 +8,21 @@
 use crate::{Action, Endpoint, Health, ServerId, Timer, Timestamp};
 use std::collections::BTreeSet;
 
-/// What an endpoint list, or a part of one, did.
+/// The effect of an endpoint list or of changes to it.
 #[derive(Default)]
 struct AppliedEndpoints {
     listed: BTreeSet<ServerSlot>,
-    /// Weight of the servers that are gone without having drained.
+    /// Weight of the servers that were removed without having drained.
     lost_weight: f64,
 }
 
 impl Balancer {
-    /// Asks for the endpoint list, where it must be asked for.
+    /// Starts the endpoint watch, at once or after an initial delay, if discovery requires a watch.
     pub(crate) fn start_endpoint_watch(&mut self, actions: &mut Actions) {
         if !self.settings.requires_endpoint_watch {
             return;
         }
-        let random = random_fraction(&mut self.fleet_random);
+        let random = random_fraction(&mut self.fleet_rng);
         let delay = self.poll_schedule.initial_delay(random);
         if delay.is_zero() {
             actions.push(Action::WatchEndpoints);
@@ -33,7 +33,7 @@
 
     pub(crate) fn on_endpoint_watch_stalled(&mut self, actions: &mut Actions) {
         if self.settings.requires_endpoint_watch {
-            let random = random_fraction(&mut self.fleet_random);
+            let random = random_fraction(&mut self.fleet_rng);
             let delay = self.poll_schedule.stalled_watch_delay(random);
             actions.push(set_timer(Timer::EndpointWatch, delay));
         }
@@ -41,13 +41,13 @@
 
     pub(crate) fn on_endpoint_watch_failed(&mut self, actions: &mut Actions) {
         if self.settings.requires_endpoint_watch {
-            let random = random_fraction(&mut self.fleet_random);
+            let random = random_fraction(&mut self.fleet_rng);
             let delay = self.poll_schedule.retry_delay(random);
             actions.push(set_timer(Timer::EndpointWatch, delay));
         }
     }
 
-    /// Applies a complete list: servers that are not on it are gone.
+    /// Applies a complete list: servers that it does not contain are removed.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now: Timestamp,
@@ -79,7 +79,7 @@
         self.apply_endpoint_changes(now, entries, actions);
     }
 
-    /// Applies changed entries, as they are to be seen with servers drained by an administrator.
+    /// Applies changed entries, which already include the drains by an administrator.
     pub(crate) fn apply_endpoint_changes(
         &mut self,
         now: Timestamp,
@@ -109,7 +109,8 @@
         self.fleet.servers.insert(id.clone(), server)
     }
 
-    /// Gives the server's weight if it is lost. One that begins slow start brings its part of the budget for it.
+    /// Applies one entry and returns the server's weight if the server is lost. A server that begins slow start adds
+    /// its share to the slow-start budget.
     fn apply_entry(&mut self, now: Timestamp, slot: ServerSlot, entry: &Endpoint) -> f64 {
         let settings = &self.settings;
         let mut lost_weight = 0.0;
--- a/crates/placement/src/events.rs
+++ b/crates/placement/src/events.rs
@@ -1,11 +1,11 @@
-//! The dispatch of events to the modules that decide on them.
+//! Dispatch of events to the modules that handle them.
 
 use crate::balancer::{Actions, Balancer};
 use crate::policy::retry::AttemptEnd;
 use crate::{Action, Event, Timer, Timestamp};
 
 impl Balancer {
-    /// Takes in one event and appends what is to be done. `now` must not run backwards.
+    /// Handles one event and appends the resulting actions. `now` must not run backwards.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.on_start(actions),
@@ -40,7 +40,7 @@
             | Event::ConnectionInherited(..)
             | Event::ConnectionEstablished { .. }
             | Event::AttemptEnded { .. }
-            | Event::ClientGone(_)
+            | Event::ClientDisconnected(_)
             | Event::ShutdownDeadline { .. }
             | Event::LoadObserved { .. }
             | Event::DelayObserved { .. }
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Events of the endpoint list and its watch.
+    /// Handles events of the endpoint list and its watch.
     fn handle_endpoint_event(&mut self, now: Timestamp, event: Event, actions: &mut Actions) {
         match event {
             Event::EndpointList { entries, cached } => {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Events of one request or its connection.
+    /// Handles events of one request or its connection.
     fn handle_request_event(&mut self, now: Timestamp, event: Event, actions: &mut Actions) {
         match event {
             Event::RequestReceived(info) => self.on_request_received(now, &info, actions),
@@ -88,7 +88,7 @@
                 };
                 self.on_attempt_ended(now, &end, actions);
             }
-            Event::ClientGone(request) => self.finish_request(request),
+            Event::ClientDisconnected(request) => self.finish_request(request),
             Event::ShutdownDeadline { request, sent } => {
                 self.on_shutdown_deadline(request, sent, actions);
             }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a balancer for long-lived connections, by rendezvous hashing.
+//! Placement decisions of a balancer for long-lived connections, by rendezvous hashing.
 //!
-//! The crate does no I/O, reads no clock and holds no globals. A proxy feeds a [`Balancer`] with what it sees
-//! ([`Event`]) and carries out what comes back ([`Action`]). The same settings, seed and events always give the same
-//! actions. `api` has the types. `events` dispatches events to the modules that decide: `policy` on requests, `limits` and
-//! `recovery` on servers. `state` has what they know.
+//! The crate does no I/O, reads no clock and holds no globals. A proxy passes its observations ([`Event`]) to a
+//! [`Balancer`] and carries out the returned [`Action`]s. The same settings, seed and events always give the same
+//! actions. `api` contains the types. `events` dispatches events to the modules that decide: `policy` on requests,
+//! `limits` and `recovery` on servers. `state` holds the data that they use.
 #![forbid(unsafe_code)]
 
 pub mod admin_drain;
--- a/crates/placement/src/policy/admission.rs
+++ b/crates/placement/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: whether a server may take a connection now.
+//! Admission control: the conditions for a server to accept a connection.
 
 use crate::balancer::Balancer;
 use crate::limits::concurrency_limit::{MAX_UTILIZATION, OVERLOAD_MEMORY};
@@ -14,43 +14,43 @@
 use crate::timer::QUEUE_INTERVAL;
 use crate::Timestamp;
 
-/// A server may hold this multiple of its fair part of this node's load.
+/// A server may hold this multiple of its fair share of this node's load.
 const FAIR_LOAD_HEADROOM: f64 = 1.25;
-/// Connections of a group that the server already serves are admitted up to this multiple of that.
+/// Connections of a group that the server already serves are admitted up to this multiple of that bound.
 const KNOWN_GROUP_HEADROOM: f64 = 1.25;
-/// A group that the server does not serve yet may fill only this part of its concurrency limit.
+/// A group that the server does not serve yet may fill only this fraction of its concurrency limit.
 const NEW_GROUP_LIMIT_RATIO: f64 = 0.75;
-/// A group that the server does not serve yet leaves this much utilization to those that it serves.
+/// Utilization that is reserved for groups that the server already serves.
 const NEW_GROUP_UTILIZATION_RESERVE: f64 = 0.2;
-/// A tenant over its quota may fill only this part of a server's concurrency limit.
+/// A tenant over its quota may fill only this fraction of a server's concurrency limit.
 const OVER_QUOTA_LIMIT_RATIO: f64 = 0.8;
 
-/// Key ratios are divided by this at the least.
+/// Lower bound of the key ratio that others are divided by.
 const MIN_KEY_RATIO: f64 = 1e-9;
 
-/// Whether a server that holds more than its fair part of the load may be admitted.
+/// The treatment of servers that hold more than their fair share of the load.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FairLoad {
     Required,
     Ignored,
 }
 
-/// What all servers are compared with when one request is placed.
+/// The values that all servers are compared with when one request is placed.
 #[derive(Clone, Copy)]
 pub(crate) struct AdmissionContext {
-    /// This node's load for each unit of server weight.
+    /// This node's load per unit of server weight.
     pub(crate) fair_load_per_weight: f64,
     request_load: f64,
-    /// Load that the first connection of a group causes on a server.
+    /// Load that the first connection of a group adds to a server.
     group_overhead: f64,
     is_tenant_over_quota: bool,
-    /// Utilization that one unit of this node's load stands for, with the load of all other nodes.
+    /// Utilization per unit of this node's load, with the load of all other nodes included.
     utilization_per_load: f64,
     pub(crate) slow_start: SlowStartAdmission,
 }
 
 impl AdmissionContext {
-    /// The same for a request that goes to a server in slow start in any case.
+    /// Returns the context for a request that goes to a server in slow start in any case.
     pub(crate) fn preferring_slow_start(self, max_key_ratio: f64) -> AdmissionContext {
         AdmissionContext {
             slow_start: SlowStartAdmission::Preferred { max_key_ratio },
@@ -59,27 +59,28 @@
     }
 }
 
-/// How far a server may be filled, which depends on whether it serves the request's group already.
-struct FillLevel {
-    /// Load that the request adds beside its own.
+/// The limits up to which a server may be filled. They depend on whether it already serves the request's group.
+struct FillLimits {
+    /// Load that the request adds on top of its own.
     group_overhead: f64,
     limit_ratio: f64,
     max_utilization: f64,
     fair_load_ratio: f64,
 }
 
-impl FillLevel {
-    /// Guards against servers that fill up with the shared work of many groups, a little of each.
-    fn new(serves_group: bool, context: &AdmissionContext) -> FillLevel {
+impl FillLimits {
+    /// Guards against servers that fill up with the shared work of many groups while they hold few connections of
+    /// each.
+    fn new(serves_group: bool, context: &AdmissionContext) -> FillLimits {
         if serves_group {
-            FillLevel {
+            FillLimits {
                 group_overhead: 0.0,
                 limit_ratio: 1.0,
                 max_utilization: MAX_UTILIZATION,
                 fair_load_ratio: KNOWN_GROUP_HEADROOM,
             }
         } else {
-            FillLevel {
+            FillLimits {
                 group_overhead: context.group_overhead,
                 limit_ratio: NEW_GROUP_LIMIT_RATIO,
                 max_utilization: MAX_UTILIZATION - NEW_GROUP_UTILIZATION_RESERVE,
@@ -97,7 +98,7 @@
     ) -> AdmissionContext {
         let totals = &self.fleet.totals;
         let mean_load = self.load_estimates.mean();
-        // A node that has just started holds next to nothing, so its own load says little.
+        // A node that has just started holds almost no load, so its own load is no basis for the estimate.
         let reported_load = f64::max(
             totals.reported_load,
             totals.reporting * DEFAULT_CONNECTIONS_PER_SERVER * mean_load,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether a ready server may take this connection now.
+    /// Returns true if a ready server may accept this connection.
     pub(crate) fn admits(
         &self,
         now: Timestamp,
@@ -128,16 +129,17 @@
         if !serves_group && happened_within(now, server.slow_hint_at, AVOID_SLOW_DURATION) {
             return false;
         }
-        let level = FillLevel::new(serves_group, context);
-        let added_load = f64::midpoint(context.request_load, level.group_overhead);
-        has_utilization_for(now, server, added_load, context, &level)
-            && is_within_limit(server, added_load, context, &level)
+        let fill_limits = FillLimits::new(serves_group, context);
+        let added_load = f64::midpoint(context.request_load, fill_limits.group_overhead);
+        has_utilization_for(now, server, added_load, context, &fill_limits)
+            && is_within_limit(server, added_load, context, &fill_limits)
             && (fair_load == FairLoad::Ignored
                 || server.connections.is_empty()
-                || self.is_within_fair_load(now, server, added_load, context, &level))
+                || self.is_within_fair_load(now, server, added_load, context, &fill_limits))
     }
 
-    /// Whether the server takes the request's key: all do unless they are warming up or keys are redistributed.
+    /// Returns true if the server accepts the request's key: every server does unless it is warming up or keys are
+    /// redistributed.
     fn accepts_key(
         &self,
         now: Timestamp,
@@ -149,9 +151,10 @@
             && (request.is_mid_flow || self.key_redistribution.accepts_key(server, request.key))
     }
 
-    /// Whether the key is in the part that a server in slow start takes; others take each. In a wave the connection's own key
-    /// decides: a large group would come to the server as a whole or not at all. Where one in slow start is chosen in any
-    /// case, its group is spread over those that take its key.
+    /// Returns true if the key is in the fraction that a server in slow start accepts; other servers accept every
+    /// key. In a reconnect wave the connection's own key decides; by the group's key, a large group would go to the
+    /// server as a whole or not at all. A request that prefers servers in slow start is spread, by its group, over
+    /// those that accept the request's key.
     pub(crate) fn accepts_key_in_slow_start(
         &self,
         now: Timestamp,
@@ -159,13 +162,13 @@
         server: &Server,
         context: &AdmissionContext,
     ) -> bool {
-        // Without a warm server nobody would take the keys that are left: the budget alone decides.
+        // Without a warm server, no server would accept the remaining keys, so the budget alone limits attempts.
         let has_warm_servers = self.fleet.totals.warm >= 1.0;
         if !has_warm_servers || !server.slow_start.is_active {
             return true;
         }
         let wave_ratio = || wave_key_ratio(&self.settings, now, server);
-        let (key, part) = match context.slow_start {
+        let (key, ratio) = match context.slow_start {
             SlowStartAdmission::ByRequestKey => (request.key, server.slow_start.key_ratio),
             SlowStartAdmission::ByConnectionKey => (request.connection_key, wave_ratio()),
             SlowStartAdmission::Preferred { max_key_ratio } => {
@@ -173,7 +176,7 @@
             }
             SlowStartAdmission::Refused => return false,
         };
-        accepts_key_ratio(server.hash, key, part)
+        accepts_key_ratio(server.hash, key, ratio)
     }
 
     fn is_within_fair_load(
@@ -182,19 +185,19 @@
         server: &Server,
         added_load: f64,
         context: &AdmissionContext,
-        level: &FillLevel,
+        fill_limits: &FillLimits,
     ) -> bool {
-        // Where other nodes hold most of a group, the few connections seen here say little. Room for one group's
-        // overhead guards against every node splitting every group.
+        // If other nodes hold most of a group, the few connections of this node tell little about its size. The
+        // allowance for the overhead of one group keeps the nodes from all splitting every group.
         let unseen_ratio = 1.0 - 1.0 / f64::from(self.settings.node_count.max(1));
         let capacity_ratio = server.capacity_ratio(&self.settings, now);
         let fair_load = context.fair_load_per_weight * server.weight * capacity_ratio;
         let max_load = fair_load * FAIR_LOAD_HEADROOM + context.group_overhead * unseen_ratio;
-        server.load + added_load <= max_load * level.fair_load_ratio
+        server.load + added_load <= max_load * fill_limits.fair_load_ratio
     }
 }
 
-/// Whether the server is ejected, out of reach, or late with the answer to a health check.
+/// Returns true if the server is ejected or unreachable, or its answer to a health check is overdue.
 pub(crate) fn is_unavailable(now: Timestamp, server: &Server) -> bool {
     let is_unanswered = server.health_check.is_some_and(|check| {
         let elapsed = now.saturating_duration_since(check.sent_at);
@@ -203,20 +206,21 @@
     server.ejection.blocks(now) || server.ejection.is_zone_unreachable || is_unanswered
 }
 
-/// The report covers the load of all nodes; what they added since is estimated from what this one added.
+/// Returns true if the server's utilization leaves room for the added load. The report covers the load of all nodes;
+/// the load added since then is estimated from the load that this node added.
 fn has_utilization_for(
     now: Timestamp,
     server: &Server,
     added_load: f64,
     context: &AdmissionContext,
-    level: &FillLevel,
+    fill_limits: &FillLimits,
 ) -> bool {
     let Some(report) = server.recent_report(now, OVERLOAD_MEMORY) else {
         return true;
     };
     let added_utilization = (report.load_since + added_load) * context.utilization_per_load;
-    let is_exceeded =
-        report.utilization > 0.0 && report.utilization + added_utilization > level.max_utilization;
+    let is_exceeded = report.utilization > 0.0
+        && report.utilization + added_utilization > fill_limits.max_utilization;
     !is_exceeded
 }
 
@@ -224,13 +228,13 @@
     server: &Server,
     added_load: f64,
     context: &AdmissionContext,
-    level: &FillLevel,
+    fill_limits: &FillLimits,
 ) -> bool {
     let quota_ratio = if context.is_tenant_over_quota {
         OVER_QUOTA_LIMIT_RATIO
     } else {
         1.0
     };
-    let max_load = server.limit.max_load * level.limit_ratio * quota_ratio;
+    let max_load = server.limit.max_load * fill_limits.limit_ratio * quota_ratio;
     server.load + added_load <= max_load
 }
--- a/crates/placement/src/policy/attempt.rs
+++ b/crates/placement/src/policy/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: how one starts, and what follows when its connection is established.
+//! Attempts: starting one, and handling its established connection.
 
 use crate::balancer::{Actions, Balancer};
 use crate::hashing::random_fraction;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Sends the request to the server selected for it, waits for a report on that server first, or ends the request.
+    /// Sends the request to the selected server, defers it until a load report of that server arrives, or ends it.
     pub(crate) fn start_attempt(&mut self, now: Timestamp, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The server whose report is wanted before the attempt. Where none admits the request that is the best one: it may
-    /// have been full, or warming up, a while ago.
+    /// Returns the server whose load report is refreshed before the attempt. If no server admits the request, this is
+    /// the top-ranked one: its last report may date from when it was full or warming up.
     fn server_to_check(
         &self,
         now: Timestamp,
@@ -98,18 +98,20 @@
         }
     }
 
-    /// Charges the attempt to the slow-start budget and the server's tokens, and makes it the trial of an ejected server.
+    /// Charges the attempt to the slow-start budget and the server's tokens, and marks an ejected server as
+    /// half-open.
     fn charge_attempt(&mut self, now: Timestamp, selection: Selection) {
         let server = self.fleet.servers.get(selection.slot);
         if server.is_some_and(|server| server.slow_start.is_active) {
-            let next_threshold = random_fraction(&mut self.fleet_random);
+            let next_threshold = random_fraction(&mut self.fleet_rng);
             self.slow_start_budget.spend(now, next_threshold);
         }
         self.fleet.update(selection.slot, |server| {
             // Only servers in slow start are limited by their tokens.
             server.slow_start.tokens -= 1.0;
             if selection.exceeds_limit {
-                // Once a while only, or a full server would take everything between two reports.
+                // Raised only once in a while; otherwise a full server would accept every request between two
+                // reports.
                 server.limit.raise_to(now, server.load);
             }
             server.ejection.is_half_open = server.ejection.until.is_some();
@@ -140,7 +142,7 @@
         } else if !was_established {
             self.shared_failures.record_success();
             self.setup_window
-                .record_success(now, setup_duration, &mut self.jitter_random);
+                .record_success(now, setup_duration, &mut self.jitter_rng);
         }
         self.fleet.record_zone_answer(now, slot);
         let settings = &self.settings;
--- a/crates/placement/src/policy/candidates.rs
+++ b/crates/placement/src/policy/candidates.rs
@@ -1,4 +1,4 @@
-//! The servers that a request may be sent to at all, and their ranking.
+//! The permitted servers of a request, and their ranking.
 
 use crate::balancer::Balancer;
 use crate::hashing::rank_score;
@@ -8,17 +8,18 @@
 use crate::state::server_table::ServerSlot;
 use crate::{Health, Timestamp};
 
-/// Connections in mid-flow may go to a draining server for this part of the drain grace.
+/// Mid-flow connections may be sent to a draining server for this fraction of the drain grace.
 const DRAIN_GRACE_RATIO: f64 = 0.8;
 
-/// A server that may be chosen.
+/// A server that may be selected.
 pub(crate) struct Candidate<'a> {
     pub(crate) slot: ServerSlot,
     pub(crate) server: &'a Server,
 }
 
 impl Balancer {
-    /// The permitted servers with the `count` highest scores, best first, without the first `skipped` of them.
+    /// Returns the permitted servers with the `count` highest scores, best first, without the first `skipped` of
+    /// them.
     pub(crate) fn ranked_servers(
         &self,
         now: Timestamp,
@@ -46,14 +47,15 @@
             .collect()
     }
 
-    /// Which of two servers with the same score comes first: the one with the lower id.
+    /// Returns true if `a` comes before `b` among servers with the same score: the lower id comes first.
     pub(crate) fn precedes(&self, a: ServerSlot, b: ServerSlot) -> bool {
         self.fleet.servers.id(a) < self.fleet.servers.id(b)
     }
 
-    /// The servers that the request may be sent to: ready ones within their slow-start budget, and draining ones for a
-    /// request in mid-flow, less those that the retry rules and earlier attempts exclude. Servers that drain or were
-    /// removed are not in the ranking index at all (see `Fleet::update`); ejections are looked at in admission.
+    /// Returns the servers that the request may be sent to: ready servers within their slow-start budget, and
+    /// draining ones for a mid-flow request, except those that the retry rules and earlier attempts exclude. The
+    /// ranking index contains no draining or removed servers (see `Fleet::update`); ejections are checked at
+    /// admission.
     pub(crate) fn permitted_servers<'a>(
         &'a self,
         now: Timestamp,
@@ -66,7 +68,7 @@
             .filter(move |indexed| self.is_allowed_by_retry_rules(now, request, indexed.slot))
     }
 
-    /// Draining servers that may still get a connection in mid-flow.
+    /// Returns the draining servers that may still receive a mid-flow connection.
     fn draining_servers<'a>(
         &'a self,
         now: Timestamp,
@@ -81,18 +83,18 @@
             .filter_map(move |slot| {
                 let server = self.fleet.servers.get(*slot)?;
                 let elapsed = now.saturating_duration_since(server.draining_since);
-                let takes_mid_flow = server.health == Health::Draining
+                let accepts_mid_flow = server.health == Health::Draining
                     && elapsed < grace
                     && server.slow_start.has_token();
-                takes_mid_flow.then_some(IndexedServer {
+                accepts_mid_flow.then_some(IndexedServer {
                     hash: server.hash,
                     slot: *slot,
                 })
             })
     }
 
-    /// Whether the retry rules and earlier attempts allow this server. Most requests have no earlier attempt, and no
-    /// server is looked up for those.
+    /// Returns true if the retry rules and earlier attempts allow this server. Most requests have no earlier attempt,
+    /// and for those no server is looked up.
     pub(crate) fn is_allowed_by_retry_rules(
         &self,
         now: Timestamp,
--- a/crates/placement/src/policy/group_spread.rs
+++ b/crates/placement/src/policy/group_spread.rs
@@ -1,10 +1,10 @@
-//! Groups in slow start: which of the servers in slow start takes a request of a group.
+//! Spreading of groups over servers in slow start.
 //!
-//! A server in slow start bears few requests from all nodes together, and no node sees how many of a group come to the others.
-//! Placed by the group's key alone, all of a large group would come to the server in slow start that ranks first for it. So a
-//! group is spread over the first such servers of its ranking, as many as its expected part of the requests fills. They are
-//! the first ones of the same ranking at all nodes: each server that holds any connection of a group does the group's shared
-//! work once more.
+//! A server in slow start has capacity for few requests from all nodes together, and no node sees how many requests
+//! of a group the other nodes receive. Placed by the group's key alone, all requests of a large group would go to the
+//! server in slow start that ranks first for it. So a group is spread over the first such servers of its ranking;
+//! their number depends on the group's expected fraction of the requests. All nodes use the first servers of the same
+//! ranking, since each server that holds any connection of a group repeats the group's shared work.
 
 use crate::balancer::Balancer;
 use crate::hashing::{murmur, rank_score, unit_interval};
@@ -16,13 +16,14 @@
 use crate::state::server_table::ServerSlot;
 use crate::Timestamp;
 
-/// A group is spread over this many times the servers in slow start that its part of the requests would fill.
+/// A group is spread over this many times the servers in slow start that its fraction of the requests would fill.
 const SPREAD_FACTOR: f64 = 3.0;
-/// The seed for the rank of a connection within its group, drawn apart from whether a server accepts the connection's key.
+/// The hash seed for a connection's rank within its group, so that the rank is independent of whether a server
+/// accepts the connection's key.
 const SPREAD_SEED: u32 = 310_571;
 
 impl Balancer {
-    /// The server in slow start that takes a request for which such servers come first.
+    /// Returns the server in slow start for a request that prefers such servers, if one admits it.
     pub(crate) fn preferred_in_slow_start(
         &self,
         now: Timestamp,
@@ -35,8 +36,8 @@
         self.admitted_in_slow_start(now, request, context, FairLoad::Required)
     }
 
-    /// The server that a request is sent to where this one was selected. Whether it goes to a server in slow start stays as it
-    /// was; which one, the spread of its group decides.
+    /// For a request of a group, replaces a selected server in slow start by the one that the spread of its group
+    /// assigns. Selections of other servers, and of servers that exceed their limit, stay unchanged.
     pub(crate) fn spread_over_slow_start(
         &self,
         now: Timestamp,
@@ -53,7 +54,7 @@
         }
         let context = context.preferring_slow_start(self.max_wave_key_ratio(now));
         let slot = if is_unavailable(now, selected) {
-            // All servers are ejected, which is ignored then.
+            // An unavailable server is selected only if all servers are ejected; ejections are then ignored.
             self.ranked_in_slow_start(now, request, |server| {
                 self.accepts_key_in_slow_start(now, request, server, &context)
             })
@@ -64,7 +65,7 @@
         slot.map_or(selection, Selection::within_limit)
     }
 
-    /// The server in slow start that takes the request, of those that admit it.
+    /// Returns the server at the request's rank among the servers in slow start that admit it.
     fn admitted_in_slow_start(
         &self,
         now: Timestamp,
@@ -77,8 +78,8 @@
         })
     }
 
-    /// The server at the request's rank among those in slow start that `accepts` leaves. Where they are fewer, their ranks are
-    /// counted over again.
+    /// Returns the server at the request's rank among the servers in slow start for which `accepts` holds. The rank
+    /// wraps around if there are fewer such servers.
     fn ranked_in_slow_start(
         &self,
         now: Timestamp,
@@ -104,8 +105,9 @@
         ranked.get(rank).map(|ranked| ranked.slot)
     }
 
-    /// The rank, from 0 on, of the server in slow start that a request of a group goes to: drawn by the connection's own key
-    /// among as many as the group is spread over. A node that has seen few requests cannot tell a small group from a large one.
+    /// Returns the rank, from 0, of the server in slow start for a request of a group. The connection's own key
+    /// selects it among the servers that the group is spread over. Their number follows from the expected fraction of
+    /// requests, as a node that has seen few requests cannot tell a small group from a large one.
     fn rank_in_slow_start(&self, request: &RequestState) -> usize {
         let Some(group) = request.group else {
             return 0;
--- a/crates/placement/src/policy/intake.rs
+++ b/crates/placement/src/policy/intake.rs
@@ -1,4 +1,4 @@
-//! How requests and inherited connections are taken in.
+//! Registration of new requests and inherited connections.
 
 use crate::balancer::{Actions, Balancer};
 use crate::hashing::{client_hash, key_hash, unit_interval};
@@ -18,7 +18,8 @@
         self.enqueue(now, id, actions);
     }
 
-    /// Takes over an established connection. It is old enough to be migrated at once.
+    /// Registers an established connection inherited from another process. It counts as old enough to be migrated at
+    /// once.
     pub(crate) fn on_connection_inherited(
         &mut self,
         now: Timestamp,
--- a/crates/placement/src/policy/mod.rs
+++ b/crates/placement/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions on requests: which server a request goes to, whether it is retried, when it is rejected.
+//! Decisions on requests: selecting a server, retrying, and rejecting.
 
 pub(crate) mod admission;
 pub(crate) mod attempt;
--- a/crates/placement/src/policy/queue.rs
+++ b/crates/placement/src/policy/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for a connection setup to be allowed.
+//! The queue of requests that wait until the setup window allows another connection setup.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::request::RequestState;
@@ -6,7 +6,7 @@
 use crate::{RequestId, Timestamp};
 use std::collections::VecDeque;
 
-/// What becomes of a queued request now.
+/// The decision on a queued request.
 enum QueueDecision {
     End,
     Start,
@@ -14,8 +14,8 @@
 }
 
 impl Balancer {
-    /// Starts an attempt for the request, or queues it while too many setups are in progress. Guards against a shared
-    /// store, or any bottleneck behind all servers, that further attempts only overload more.
+    /// Starts an attempt for the request, or queues it while too many setups are in progress. Guards against a
+    /// bottleneck behind all servers, such as a shared store, which further attempts would only overload more.
     pub(crate) fn enqueue(&mut self, now: Timestamp, id: RequestId, actions: &mut Actions) {
         let starts_at_once = self
             .requests
@@ -34,10 +34,10 @@
         self.dispatch_queued(now, actions);
     }
 
-    /// Starts what may start, oldest first, and ends what can no longer be answered in time.
+    /// Starts the requests that may start, oldest first, and ends those that can no longer be answered in time.
     pub(crate) fn dispatch_queued(&mut self, now: Timestamp, actions: &mut Actions) {
         if self.slow_start_budget.has_lease() {
-            self.refresh_slow_start(now); // the window has moved on, or the lease has expired
+            self.refresh_slow_start(now); // the lease's window may have moved on, or the lease may have expired
             self.slow_start_budget.record_demand();
         }
         let mut still_waiting = VecDeque::new();
--- a/crates/placement/src/policy/rejection.rs
+++ b/crates/placement/src/policy/rejection.rs
@@ -1,9 +1,9 @@
-//! Requests that end unserved.
+//! Requests that end without being served.
 
 use crate::balancer::{Actions, Balancer};
 use crate::{Action, RequestId};
 
-/// The advised wait, drawn from a range of parts of the longest one that clients heed.
+/// The range of the advised wait, as fractions of the longest wait that clients obey.
 struct RetryAfterRange {
     min_ratio: f64,
     spread_ratio: f64,
@@ -13,14 +13,14 @@
     min_ratio: 0.25,
     spread_ratio: 0.5,
 };
-/// A request that spent all its attempts met a fleet that is no better in a moment.
+/// For a request that used all its attempts: the fleet is unlikely to recover within a moment, so the wait is longer.
 const RETRY_AFTER_ALL_ATTEMPTS: RetryAfterRange = RetryAfterRange {
     min_ratio: 0.6,
     spread_ratio: 0.4,
 };
 
 impl Balancer {
-    /// Ends the request at shutdown. What was sent of its present attempt may have been executed.
+    /// Ends the request at shutdown. If its present attempt was sent in part, that part may have been executed.
     pub(crate) fn on_shutdown_deadline(
         &mut self,
         id: RequestId,
@@ -33,7 +33,7 @@
         self.reject_or_fail(id, actions);
     }
 
-    /// Rejects the request where that is harmless, else fails it.
+    /// Rejects the request if a retry by the client is harmless, else fails it.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -56,7 +56,8 @@
         });
     }
 
-    /// Nothing more is sent for the request. An attempt in flight is still accounted for until it ends.
+    /// Marks the request as finished, so that no further attempt is sent. An attempt in flight is still accounted for
+    /// until it ends.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/placement/src/policy/retry.rs
+++ b/crates/placement/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt, and whether another one follows.
+//! Handling of the end of an attempt, and the decision to retry.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::request::{Attempt, Deferral, PossibleExecution};
@@ -6,21 +6,21 @@
 use crate::timer::QUEUE_INTERVAL;
 use crate::{Action, Outcome, RequestId, Timestamp};
 
-/// How an attempt ended.
+/// The end of an attempt.
 pub(crate) struct AttemptEnd {
     pub(crate) request: RequestId,
-    /// The attempt's number, from 0.
+    /// The index of the attempt, from 0.
     pub(crate) attempt: u32,
     pub(crate) outcome: Outcome,
     /// The request needs no further attempt.
     pub(crate) completes_request: bool,
-    /// The server's load report, if one came.
+    /// The server's load report, if one was received.
     pub(crate) report: Option<Vec<f64>>,
 }
 
 impl Balancer {
-    /// Whether the present attempt may still be sent to its server, now that its connection is established: the time
-    /// for a retry after a possible execution may be over by then.
+    /// Returns true if the present attempt may still be sent to its server after its connection is established: the
+    /// time for a retry after a possible execution may be over by then.
     pub fn can_still_send(&self, now: Timestamp, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -34,7 +34,7 @@
             .is_some_and(|server| request.may_retry_on(now, server))
     }
 
-    /// The server of the request's attempt of this number, if that is the present one.
+    /// Returns the server of the request's attempt with this index, if that is the present attempt.
     fn server_of_attempt(&self, id: RequestId, attempt: u32) -> Option<ServerSlot> {
         let request = self.requests.get(&id)?;
         let in_flight = request.in_flight.as_ref()?;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes the attempt from its request, and keeps in mind what it may have executed.
+    /// Removes the attempt from its request, and records that it may have been executed.
     fn take_attempt(&mut self, id: RequestId, outcome: Outcome) -> Option<Attempt> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.in_flight.take()?;
@@ -113,7 +113,7 @@
         Some(attempt)
     }
 
-    /// Tries again: after an error with a backoff, else as soon as the queue allows.
+    /// Retries the request: after an error with a backoff, otherwise as soon as the queue allows.
     fn retry(&mut self, now: Timestamp, id: RequestId, outcome: Outcome, actions: &mut Actions) {
         let backoff = QUEUE_INTERVAL.mul_f64(1.0 + self.jitter());
         if outcome == Outcome::Error {
--- a/crates/placement/src/policy/retry_safety.rs
+++ b/crates/placement/src/policy/retry_safety.rs
@@ -1,15 +1,15 @@
-//! Where a request may be sent again, and for how long one attempt may take.
+//! Rules on whether and where a request may be retried, and the time-out of an attempt.
 
 use crate::state::request::RequestState;
 use crate::state::server::Server;
 use crate::{IdempotencyScope, RetrySafety, Timestamp};
 use std::time::Duration;
 
-/// Part of the setup objective after which an attempt times out.
+/// Fraction of the setup objective after which the first attempt times out.
 const ATTEMPT_TIMEOUT_RATIO: f64 = 0.4;
-/// An attempt may take at least this multiple of the mean setup.
+/// The minimum time-out of a first attempt, as a multiple of the mean setup time.
 const MIN_TIMEOUT_PER_MEAN_SETUP: f64 = 4.0;
-/// Attempts after which the timeout doubles no more.
+/// The number of attempts after which the time-out stops doubling.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 8;
 
 impl RequestState {
@@ -17,9 +17,9 @@
         self.attempt_count < self.max_attempts
     }
 
-    /// How long the next attempt may take: short enough that another one fits into the setup objective, longer where the
-    /// whole fleet is slow to set up connections, and up to the deadline where no further attempt is possible or no
-    /// objective is known.
+    /// Returns the time-out of the next attempt: short enough that another attempt fits into the setup objective,
+    /// longer if setups are slow in the whole fleet, and the time to the deadline if no further attempt is possible
+    /// or the class has no objective.
     pub(crate) fn attempt_timeout(&self, now: Timestamp, mean_setup_seconds: f64) -> Duration {
         let remaining = self.deadline.saturating_duration_since(now);
         let Some(class) = self.class_rules else {
@@ -36,12 +36,12 @@
         Duration::from_secs_f64(first_timeout * f64::from(1u32 << doublings)).min(remaining)
     }
 
-    /// Whether another attempt is possible after what may have been executed.
+    /// Returns true if another attempt is allowed, given that an earlier one may have been executed.
     pub(crate) fn may_retry(&self) -> bool {
         self.possible_execution.is_none() || self.retry_safety() != Some(RetrySafety::NotIdempotent)
     }
 
-    /// Whether what may have been executed leaves this server to the request now.
+    /// Returns true if the request may be sent to this server, given that an earlier attempt may have been executed.
     pub(crate) fn may_retry_on(&self, now: Timestamp, server: &Server) -> bool {
         let Some(execution) = self.possible_execution else {
             return true;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether the client may be told to retry: nothing may have been executed, or repeating it is harmless.
+    /// Returns true if the client may be asked to retry: nothing may have been executed, or a repetition is harmless.
     pub(crate) fn may_be_rejected(&self) -> bool {
         match self.retry_safety() {
             Some(
--- a/crates/placement/src/policy/retry_safety/tests.rs
+++ b/crates/placement/src/policy/retry_safety/tests.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A request of which an attempt at zone 1, cell 11 may have been executed at second 0.
+/// A request with an attempt that may have been executed in zone 1, cell 11 at second 0.
 fn possibly_executed(retry_safety: RetrySafety) -> RequestState {
     RequestState {
         possible_execution: Some(PossibleExecution::new(&server(1, 11), at_seconds(0))),
--- a/crates/placement/src/policy/selection.rs
+++ b/crates/placement/src/policy/selection.rs
@@ -15,20 +15,21 @@
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Candidates that are ranked at first; more are seldom needed.
+/// Candidates that are ranked at first. More are seldom needed.
 const FIRST_CANDIDATE_COUNT: usize = 4;
-/// A group is split over this many times the servers that its part of the requests would fill.
+/// A server is assumed to serve this multiple of its mean share of the requests before a group is split further.
 const GROUP_SPLIT_FACTOR: f64 = 2.0;
-/// A machine kind declines this multiple of its excess overload rate of the keys.
+/// The fraction of keys that a machine kind declines, as a multiple of its excess overload rate.
 const DECLINED_KEYS_PER_OVERLOAD: f64 = 3.0;
-/// While this many nodes share the fleet, a full server may exceed its limit once per upkeep interval.
+/// With this many nodes, each one may let a full server exceed its limit once per upkeep interval; with more nodes
+/// the interval grows in proportion.
 const NODES_PER_LIMIT_RAISE: f64 = 4.0;
 
-/// The server that a request is sent to.
+/// The server selected for a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Selection {
     pub(crate) slot: ServerSlot,
-    /// The server is full and takes the connection all the same.
+    /// The server is at its limit and accepts the connection anyway.
     pub(crate) exceeds_limit: bool,
 }
 
@@ -48,17 +49,17 @@
     }
 }
 
-/// How willingly a server is chosen, the best first.
+/// The preference among servers, best first.
 #[derive(Clone, Copy)]
 enum Tier {
     Admitted,
-    /// It admits the request, but servers of its machine kind are more often overloaded than others.
+    /// The server admits the request, but its machine kind is overloaded more often than others.
     DeclinedByMachineKind,
-    /// It holds more than its fair part of the load.
+    /// The server holds more than its fair share of the load.
     BeyondFairLoad,
-    /// It is at its concurrency limit, which may be out of date.
+    /// The server is at its concurrency limit, which may be out of date.
     BeyondLimit,
-    /// Every server, for when all are ejected.
+    /// Any server that accepts the key; used only if all servers are ejected.
     Any,
 }
 
@@ -71,14 +72,15 @@
 }
 
 impl Balancer {
-    /// The server for the request, if one takes it.
+    /// Selects a server for the request, if one accepts it.
     pub(crate) fn select_server(
         &self,
         now: Timestamp,
         request: &RequestState,
     ) -> Option<Selection> {
         let candidates = self.first_candidates(now, request);
-        // A connection in mid-flow continues only at its server: the top score unless an exception placed it.
+        // A mid-flow connection can continue only on the server that holds it. That is the top-ranked one unless the
+        // connection was not placed by rank.
         if request.is_first_mid_flow_attempt() {
             let current_server = candidates.first()?;
             return Some(Selection::within_limit(current_server.slot));
@@ -91,7 +93,7 @@
         Some(self.spread_over_slow_start(now, request, &context, selection))
     }
 
-    /// The first of the candidates that admits the request, else the first of all servers.
+    /// Selects the first candidate that admits the request; if there is none, scans all servers.
     fn select_by_ranking(
         &self,
         now: Timestamp,
@@ -113,7 +115,8 @@
         self.scan_all_servers(now, request, context, start)
     }
 
-    /// The highest-ranked candidates. A group larger than a server starts at one of as many servers as it fills.
+    /// Returns the highest-ranked candidates. For a group that fills several servers, the ranking starts at one of
+    /// that many servers.
     fn first_candidates(&self, now: Timestamp, request: &RequestState) -> Vec<Candidate<'_>> {
         let is_restricted = request.is_first_mid_flow_attempt()
             || !request.tried_servers.is_empty()
@@ -129,8 +132,8 @@
         self.ranked_servers(now, request, start, start + FIRST_CANDIDATE_COUNT)
     }
 
-    /// How many servers the request's group fills, as far as recent requests tell. Guards against a group heavier than
-    /// a server that every node, holding few of it, puts on the same one.
+    /// Estimates from recent requests how many servers the request's group fills. Guards against a group too large
+    /// for one server: each node holds few of its connections, so all nodes would place it on the same server.
     fn servers_for_group(&self, request: &RequestState, server_count: f64) -> f64 {
         let Some(group) = request.group else {
             return 1.0;
@@ -139,7 +142,7 @@
         (request_ratio * server_count / GROUP_SPLIT_FACTOR).max(1.0)
     }
 
-    /// None of the first candidates takes the request: looks at all servers for the first of the best tier.
+    /// Scans all servers for the first one of the best tier, used if none of the first candidates admits the request.
     fn scan_all_servers(
         &self,
         now: Timestamp,
@@ -161,8 +164,8 @@
                 slot: indexed.slot,
             };
             let tier = self.admission_tier(now, request, server, context, raise_interval);
-            let takes_key = self.accepts_key_in_slow_start(now, request, server, context);
-            for tier in tier.into_iter().chain(takes_key.then_some(Tier::Any)) {
+            let accepts_key = self.accepts_key_in_slow_start(now, request, server, context);
+            for tier in tier.into_iter().chain(accepts_key.then_some(Tier::Any)) {
                 scan.offer(tier.index(), ranked, |a, b| self.precedes(a, b));
             }
         }
@@ -185,12 +188,12 @@
                 Tier::DeclinedByMachineKind
             });
         }
-        // Beyond its fair load a server takes only groups that it serves; one that has less takes any, or a
-        // fleet that holds next to nothing would be full with it.
+        // Beyond its fair load, a server accepts only groups that it serves. A server below its fair load accepts any
+        // group; otherwise a fleet with almost no load would count as full.
         let serves_group = server.serves_group(request.group);
         let has_room = server.load <= context.fair_load_per_weight * server.weight;
-        let takes_group = serves_group || has_room;
-        if takes_group && self.admits(now, request, server, context, FairLoad::Ignored) {
+        let accepts_group = serves_group || has_room;
+        if accepts_group && self.admits(now, request, server, context, FairLoad::Ignored) {
             return Some(Tier::BeyondFairLoad);
         }
         let is_refused_by_wave =
@@ -202,8 +205,8 @@
         may_exceed_limit.then_some(Tier::BeyondLimit)
     }
 
-    /// Whether the key is among those that servers of this machine kind take: about the same ones at every node.
-    /// Guards against kinds that can do less than listed, where a node holds too little to know each server.
+    /// Returns true if servers of this machine kind accept the key: about the same keys at every node. Guards against
+    /// machine kinds with less capacity than listed, if a node holds too few connections to judge each server.
     fn is_accepted_by_machine_kind(&self, request: &RequestState, server: &Server) -> bool {
         let excess_rate = self.machine_kinds.excess_overload_rate(server.machine_kind);
         let connections_per_server =
@@ -215,8 +218,8 @@
     }
 }
 
-/// The first server of the best tier that the scan found. If all servers are ejected, the ejections are ignored. If any is
-/// merely at its limit, ejected servers are not used.
+/// Returns the first server of the best tier that the scan found. Ejections are ignored only if all servers are
+/// ejected: if any other server is merely at its limit, ejected ones are not used.
 fn best_selection(
     scan: &CandidateScan<{ Tier::COUNT }>,
     all_are_ejected: bool,
--- a/crates/placement/src/recovery/drain_migration.rs
+++ b/crates/placement/src/recovery/drain_migration.rs
@@ -1,7 +1,7 @@
 //! Migration of connections off servers that an administrator drains.
 //!
-//! It goes in steps: guards against the work of all connections at once on the other servers, and against a restart of the
-//! drained server that cuts connections off.
+//! Connections are migrated in steps, so that the other servers do not receive all of them at once, and within a
+//! fixed time, so that a restart of the drained server does not break them.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::request::RequestState;
@@ -9,12 +9,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A drained server is empty after this time.
+/// The time in which all connections of a drained server are migrated.
 const DRAIN_DURATION: Duration = Duration::from_millis(1500);
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Balancer {
-    /// Exactly these servers are drained from now on.
+    /// Replaces the set of drained servers.
     pub(crate) fn on_admin_drain(
         &mut self,
         now: Timestamp,
@@ -31,8 +31,8 @@
         self.migrate_drained(now, actions);
     }
 
-    /// Migrates the next part of the connections that are established on drained servers, as also attempts are that come
-    /// up there later.
+    /// Migrates the next share of the connections that are established on drained servers, including those that are
+    /// established after the drain began.
     fn migrate_drained(&mut self, now: Timestamp, actions: &mut Actions) {
         let drained = self
             .admin_drain
--- a/crates/placement/src/recovery/ejection.rs
+++ b/crates/placement/src/recovery/ejection.rs
@@ -1,46 +1,46 @@
-//! The ejection of one server: nothing is sent there for a while, then one attempt at a time tries it out.
+//! Ejection of one server: it receives no attempts for a while, then one attempt at a time while it is half-open.
 
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Failures in a row, with no success between them, that eject a server.
+/// Consecutive failures that eject a server.
 pub(crate) const EJECTION_FAILURES: u32 = 2;
-/// A first ejection lasts this long; each further one twice as long ...
+/// The duration of the first ejection; each further one lasts twice as long ...
 const EJECTION_BASE_DURATION: Duration = Duration::from_secs(1);
-/// ... up to this.
+/// ... up to this duration.
 const MAX_EJECTION_DURATION: Duration = Duration::from_secs(8);
 const MAX_DURATION_DOUBLINGS: u32 = 3;
-/// The duration is multiplied with a random number of this range.
+/// The duration is multiplied by a random factor of this range.
 const MIN_JITTER_FACTOR: f64 = 0.75;
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
 #[derive(Default)]
 pub(crate) struct Ejection {
     pub(crate) consecutive_failures: u32,
-    /// How often the server was ejected since it started.
+    /// The number of ejections since the server started.
     pub(crate) count: u32,
-    /// Set until an attempt succeeds, also when the moment has passed.
+    /// The end of the ejection. It stays set after that time until an attempt succeeds.
     pub(crate) until: Option<Timestamp>,
-    /// An attempt tries the server out after its ejection.
+    /// An attempt is in flight that tests the server after its ejection.
     pub(crate) is_half_open: bool,
-    /// The server is ejected with its whole zone, which cannot be reached from here.
+    /// The server is ejected because its whole zone is unreachable from this node.
     pub(crate) is_zone_unreachable: bool,
 }
 
 impl Ejection {
-    /// Whether the ejection keeps attempts from the server now.
+    /// Returns true if the ejection keeps attempts from the server.
     pub(crate) fn blocks(&self, now: Timestamp) -> bool {
         self.until
             .is_some_and(|until| now < until || self.is_half_open)
     }
 
-    /// Whether the server has failed often enough to be ejected, and is not ejected now.
+    /// Returns true if the server has failed often enough to be ejected and is not ejected already.
     pub(crate) fn is_due(&self, now: Timestamp) -> bool {
         self.consecutive_failures >= EJECTION_FAILURES
             && self.until.is_none_or(|until| now >= until)
     }
 
-    /// Ejects the server for longer each time. `jitter` is drawn from 0 to 1.
+    /// Ejects the server, for longer each time. `jitter` is a random number from 0 to 1.
     pub(crate) fn eject(&mut self, now: Timestamp, jitter: f64) {
         let doublings = self.count.min(MAX_DURATION_DOUBLINGS);
         let duration = EJECTION_BASE_DURATION
@@ -51,25 +51,25 @@
         self.count += 1;
     }
 
-    /// Ejects the server at least until this moment.
+    /// Ejects the server at least until the given time.
     pub(crate) fn extend_until(&mut self, until: Timestamp) {
         self.until = self.until.max(Some(until));
     }
 
-    /// A connection was established.
+    /// Records an established connection, which ends the ejection.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.until = None;
         self.is_half_open = false;
     }
 
-    /// The server's zone can be reached again.
+    /// Ends the ejection after the server's zone has become reachable again.
     pub(crate) fn end_zone_outage(&mut self) {
         self.is_zone_unreachable = false;
         self.until = None;
     }
 
-    /// Evidence against another process of the server is void.
+    /// Discards all failures, as they concern an earlier process of the server.
     pub(crate) fn reset_for_new_process(&mut self) {
         self.consecutive_failures = 0;
         self.count = 0;
--- a/crates/placement/src/recovery/gossip.rs
+++ b/crates/placement/src/recovery/gossip.rs
@@ -1,4 +1,4 @@
-//! Hints about slow servers between nodes.
+//! Gossip between nodes about slow servers.
 
 use crate::balancer::{Actions, Balancer};
 use crate::hashing::short_name;
@@ -9,14 +9,15 @@
 
 /// A hint about a server is not repeated within this time.
 const HINT_INTERVAL: Duration = Duration::from_secs(3);
-/// After a hint new groups are kept from the server, or everything if it is stalled, for this long.
+/// For this long after a hint, the server receives no new groups, or nothing at all if it is stalled.
 pub(crate) const AVOID_SLOW_DURATION: Duration = Duration::from_millis(4500);
-/// Marks a hint about a server that does not answer at all.
+/// The suffix of a hint about a server that does not answer at all.
 const STALLED_MARK: &str = "!";
-/// Hints are sent by one in so many of the nodes that hold connections on the server.
-const HOLDERS_PER_HINT: f64 = 4.0;
+/// Detections of a slow server for each hint: among N nodes that hold connections there, each one sends a hint with
+/// the probability 1 / (this * N).
+const DETECTIONS_PER_HINT: f64 = 4.0;
 
-/// What is told of a server.
+/// The condition of a server that a hint reports.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SlowHint {
     Slow,
@@ -24,8 +25,8 @@
 }
 
 impl Balancer {
-    /// Tells the other nodes of a slow server, as one of all that hold connections there. A node that holds nothing there
-    /// would send the next connection to it all the same.
+    /// Sends a hint about a slow server to the other nodes, if this node is chosen among those that hold connections
+    /// there. A node without connections there would otherwise send its next connection to it.
     pub(crate) fn send_slow_hint(
         &mut self,
         now: Timestamp,
@@ -36,7 +37,7 @@
         let server_count = self.fleet.servers.len().max(1) as f64;
         let node_count = f64::from(self.settings.node_count);
         let holders = self.fleet.totals.connections * node_count / server_count;
-        let is_chosen = self.jitter() * HOLDERS_PER_HINT * holders.min(node_count) < 1.0;
+        let is_chosen = self.jitter() * DETECTIONS_PER_HINT * holders.min(node_count) < 1.0;
         if !is_chosen || !self.settings.gossip_allowed {
             return;
         }
@@ -54,7 +55,7 @@
         actions.push(Action::Gossip(message));
     }
 
-    /// Another node told of a slow server.
+    /// Applies another node's hint about a slow server.
     pub(crate) fn on_gossip(&mut self, now: Timestamp, message: &str) {
         let (name, hint) = match message.strip_suffix(STALLED_MARK) {
             Some(name) => (name, SlowHint::Stalled),
--- a/crates/placement/src/recovery/key_fitting.rs
+++ b/crates/placement/src/recovery/key_fitting.rs
@@ -1,60 +1,61 @@
-//! Which part of the keys of lost servers each remaining server takes, so that none gets more than it can carry.
+//! The fraction of the keys of lost servers that each remaining server accepts, so that none exceeds its capacity.
 //!
-//! Every node computes the same from the endpoint list alone. Without it the next-highest scores decide, and hashes spread
-//! unevenly: one of four remaining servers got half of all connections and was overloaded, then the next one was.
+//! Every node computes the same fractions from the endpoint list alone. Without them the next-highest scores decide,
+//! and hashes spread unevenly: one of four remaining servers received half of all connections and was overloaded,
+//! then the next one was.
 
 use crate::hashing::{murmur, rank_score, unit_interval};
 use std::cmp::Reverse;
 
-/// A server is taken to carry this multiple of its usual load, since services run at about half of their capacity. With
-/// 1.25 more is rejected than necessary, with 1.75 servers are overloaded (docs/measured/many-nodes.md).
+/// The assumed capacity of a server, as a multiple of its usual load: services run at about half of their capacity.
+/// With 1.25 more is rejected than necessary, with 1.75 servers are overloaded (docs/measured/many-nodes.md).
 pub(crate) const CAPACITY_RATIO: f64 = 1.5;
-/// Keys drawn for each remaining server, and at the most, to learn how many come to each. At the most this costs as many
-/// sorts of the remaining servers, once a second while keys are redistributed.
+/// Sampled keys per remaining server, and their maximum, to estimate how many each server receives. At the maximum
+/// this costs as many sorts of the remaining servers, once a second while keys are redistributed.
 const SAMPLES_PER_SERVER: usize = 100;
 const MAX_SAMPLES: usize = 2_048;
-/// The seed of the sampled keys, the same at every node.
+/// The hash seed of the sampled keys, the same at every node.
 const SAMPLE_SEED: u32 = 77_041;
-/// Rounds of the fitting; it settles within them at the sizes that were measured.
+/// Rounds of the fitting, enough for it to converge at the measured fleet sizes.
 const ROUNDS: usize = 16;
 /// A ratio rises by at most this factor in a round.
 const MAX_RISE_PER_ROUND: f64 = 1.2;
-/// The bits of a key that decide whether a server takes it.
+/// The rotation of the key in the hash that decides whether a server accepts it.
 const KEY_ROTATION: u32 = 8;
 
 /// A server that remains.
 pub(crate) struct RemainingServer {
     pub(crate) hash: u32,
-    /// The part of all work that it can carry.
+    /// Its capacity, as a fraction of the total load.
     pub(crate) capacity: f64,
-    /// The part of all keys that it may take while it warms up.
+    /// The largest fraction of all keys that it may accept while it is warming up.
     pub(crate) max_ratio: f64,
-    /// The part of the keys of lost servers that come to it which it takes.
+    /// The fraction that it accepts of the keys of lost servers that fall to it.
     pub(crate) extra_ratio: f64,
 }
 
-/// A key, with what decides who takes it.
+/// A sampled key, with the inputs that decide which server accepts it.
 struct SampleKey {
     key: u32,
-    /// The hash of the server that took it before any was lost.
+    /// The hash of the key's server before any server was lost.
     preferred: Option<u32>,
-    /// Positions of the remaining servers, by falling score.
+    /// Indices of the remaining servers, by descending score.
     ranking: Vec<usize>,
 }
 
-/// The parts of the sampled keys that come to a server.
+/// The fractions of the sampled keys that a server receives.
 #[derive(Clone, Copy, Default)]
 struct AssignedKeys {
     own: f64,
     extra: f64,
 }
 
-/// Whether the server takes a key where it takes a part of them.
+/// Returns true if the server accepts the key when it accepts this fraction of all keys.
 pub(crate) fn accepts_key_ratio(server_hash: u32, key: u32, ratio: f64) -> bool {
     unit_interval(server_hash ^ key.rotate_left(KEY_ROTATION)) < ratio
 }
 
-/// The hash of the server with the highest score for the key.
+/// Returns the hash of the server with the highest score for the key.
 pub(crate) fn preferred_server(server_hashes: &[u32], key: u32) -> Option<u32> {
     server_hashes
         .iter()
@@ -62,8 +63,8 @@
         .max_by_key(|hash| rank_score(*hash, key))
 }
 
-/// Sets the extra ratio of each remaining server so that none gets more than its capacity. `all` are the hashes of the
-/// servers that the work was made for. A server keeps its own keys in any case.
+/// Sets the extra ratio of each remaining server so that none exceeds its capacity. `all` are the hashes of the
+/// servers before the loss. A server keeps its own keys in any case.
 pub(crate) fn fit_to_capacity(all: &[u32], remaining: &mut [RemainingServer]) {
     let samples = sample_keys(all, remaining);
     for server in remaining.iter_mut() {
@@ -74,8 +75,8 @@
         for (server, assigned) in remaining.iter_mut().zip(assigned) {
             let free_capacity = (server.capacity - assigned.own).max(0.0);
             let factor = free_capacity / f64::max(assigned.extra, 1e-9);
-            // The keys that all others decline come to a server that takes all: its rise is limited, or the result would
-            // oscillate from round to round.
+            // A server that accepts all keys also receives those that the others decline: its rise is limited, or the
+            // result would oscillate from round to round.
             let step = factor.sqrt().min(MAX_RISE_PER_ROUND);
             server.extra_ratio = (server.extra_ratio * step).min(1.0);
         }
@@ -100,38 +101,38 @@
     let mut scored: Vec<(u32, usize)> = remaining
         .iter()
         .enumerate()
-        .map(|(position, server)| (rank_score(server.hash, key), position))
+        .map(|(index, server)| (rank_score(server.hash, key), index))
         .collect();
     scored.sort_unstable_by_key(|(score, _)| Reverse(*score));
-    scored.into_iter().map(|(_, position)| position).collect()
+    scored.into_iter().map(|(_, index)| index).collect()
 }
 
 fn assigned_keys(samples: &[SampleKey], remaining: &[RemainingServer]) -> Vec<AssignedKeys> {
     let mut assigned = vec![AssignedKeys::default(); remaining.len()];
     for sample in samples {
-        let is_taker = |position: &&usize| {
+        let accepts = |index: &&usize| {
             remaining
-                .get(**position)
-                .is_some_and(|server| takes_sample(server, sample))
+                .get(**index)
+                .is_some_and(|server| accepts_sample(server, sample))
         };
-        let Some(position) = sample.ranking.iter().find(is_taker) else {
+        let Some(index) = sample.ranking.iter().find(accepts) else {
             continue;
         };
-        let server = remaining.get(*position);
-        if let (Some(assigned), Some(server)) = (assigned.get_mut(*position), server) {
+        let server = remaining.get(*index);
+        if let (Some(assigned), Some(server)) = (assigned.get_mut(*index), server) {
             let is_own = sample.preferred == Some(server.hash);
-            let part = if is_own {
+            let fraction = if is_own {
                 &mut assigned.own
             } else {
                 &mut assigned.extra
             };
-            *part += 1.0 / samples.len() as f64;
+            *fraction += 1.0 / samples.len() as f64;
         }
     }
     assigned
 }
 
-fn takes_sample(server: &RemainingServer, sample: &SampleKey) -> bool {
+fn accepts_sample(server: &RemainingServer, sample: &SampleKey) -> bool {
     let ratio = if sample.preferred == Some(server.hash) {
         1.0
     } else {
--- a/crates/placement/src/recovery/key_fitting/tests.rs
+++ b/crates/placement/src/recovery/key_fitting/tests.rs
@@ -1,68 +1,79 @@
 use super::*;
 
-/// `lost` of `all` servers are gone: the most that one of the rest gets of the keys, and what all get, both in
-/// parts of what they are taken to carry.
-fn shared(all: u32, lost: u32, seed: u32, shares: bool) -> (f64, f64) {
-    let hashes: Vec<u32> = (0..all).map(|n| murmur(&n.to_le_bytes(), seed)).collect();
-    let room = CAPACITY_RATIO / f64::from(all);
-    let rest = hashes.iter().skip(lost as usize);
-    let mut left: Vec<RemainingServer> = rest
+/// Assigns keys after the loss of `lost_count` of `server_count` servers, and returns the peak and the mean load of the
+/// remaining servers as fractions of their capacity. For the peak, a server's own keys count as capacity if they exceed it.
+fn peak_and_mean_load(
+    server_count: u32,
+    lost_count: u32,
+    seed: u32,
+    is_fitted: bool,
+) -> (f64, f64) {
+    let hashes: Vec<u32> = (0..server_count)
+        .map(|n| murmur(&n.to_le_bytes(), seed))
+        .collect();
+    let capacity_per_server = CAPACITY_RATIO / f64::from(server_count);
+    let remaining_hashes = hashes.iter().skip(lost_count as usize);
+    let mut remaining: Vec<RemainingServer> = remaining_hashes
         .map(|hash| RemainingServer {
             hash: *hash,
-            capacity: room,
+            capacity: capacity_per_server,
             max_ratio: 1.0,
             extra_ratio: 1.0,
         })
         .collect();
-    if shares {
-        fit_to_capacity(&hashes, &mut left);
+    if is_fitted {
+        fit_to_capacity(&hashes, &mut remaining);
     }
-    let mut got = vec![0.0; left.len()];
-    let mut own = vec![0.0; left.len()];
+    let mut received = vec![0.0; remaining.len()];
+    let mut own = vec![0.0; remaining.len()];
     for key in (0..4_000u32).map(|key| murmur(&key.to_le_bytes(), seed ^ 5)) {
-        let home = preferred_server(&hashes, key);
-        let lets = |(_, server): &(usize, &RemainingServer)| {
-            home == Some(server.hash) || accepts_key_ratio(server.hash, key, server.extra_ratio)
+        let preferred = preferred_server(&hashes, key);
+        let accepts = |(_, server): &(usize, &RemainingServer)| {
+            preferred == Some(server.hash)
+                || accepts_key_ratio(server.hash, key, server.extra_ratio)
         };
-        let best = left.iter().enumerate().filter(lets);
-        if let Some((at, server)) = best.max_by_key(|(_, server)| rank_score(server.hash, key)) {
-            got[at] += 1.0 / 4_000.0 / room;
-            own[at] += if home == Some(server.hash) {
-                1.0 / 4_000.0 / room
+        let best = remaining.iter().enumerate().filter(accepts);
+        if let Some((index, server)) = best.max_by_key(|(_, server)| rank_score(server.hash, key)) {
+            received[index] += 1.0 / 4_000.0 / capacity_per_server;
+            own[index] += if preferred == Some(server.hash) {
+                1.0 / 4_000.0 / capacity_per_server
             } else {
                 0.0
             };
         }
     }
-    let most = got
+    let relative_loads = received
         .iter()
         .zip(&own)
-        .map(|(got, own)| got / f64::max(*own, 1.0));
+        .map(|(received, own)| received / f64::max(*own, 1.0));
     (
-        most.fold(0.0, f64::max),
-        got.iter().sum::<f64>() / got.len() as f64,
+        relative_loads.fold(0.0, f64::max),
+        received.iter().sum::<f64>() / received.len() as f64,
     )
 }
 
 #[test]
-fn what_is_left_gets_no_more_than_it_carries_and_little_less() {
-    for (all, lost, bound) in [(12, 8, 1.45), (60, 40, 1.8)] {
-        let mut uneven = 0.0;
+fn remaining_servers_receive_about_their_capacity() {
+    for (server_count, lost_count, bound) in [(12, 8, 1.45), (60, 40, 1.8)] {
+        let mut unfitted_peak = 0.0;
         for seed in 0..10 {
-            let (most, whole) = shared(all, lost, seed, true);
+            let (peak, mean) = peak_and_mean_load(server_count, lost_count, seed, true);
             assert!(
-                most < bound,
-                "{lost} of {all}, seed {seed}: one gets {most:.2} of what it carries"
+                peak < bound,
+                "{lost_count} of {server_count}, seed {seed}: peak load is {peak:.2} of a server's capacity"
             );
             assert!(
-                whole > 0.8,
-                "{lost} of {all}, seed {seed}: only {whole:.2} of what is carried"
+                mean > 0.8,
+                "{lost_count} of {server_count}, seed {seed}: mean load is only {mean:.2} of the capacity"
+            );
+            unfitted_peak = f64::max(
+                unfitted_peak,
+                peak_and_mean_load(server_count, lost_count, seed, false).0,
             );
-            uneven = f64::max(uneven, shared(all, lost, seed, false).0);
         }
         assert!(
-            uneven > 2.0,
-            "{lost} of {all}: {uneven:.2} at the most without shares"
+            unfitted_peak > 2.0,
+            "{lost_count} of {server_count}: peak load without fitting is {unfitted_peak:.2}"
         );
     }
 }
--- a/crates/placement/src/recovery/key_redistribution.rs
+++ b/crates/placement/src/recovery/key_redistribution.rs
@@ -1,4 +1,4 @@
-//! When the keys of lost servers are redistributed over the remaining ones, and which server takes a key then.
+//! Redistribution of the keys of lost servers over the remaining ones.
 
 use crate::recovery::key_fitting::{
     accepts_key_ratio, fit_to_capacity, preferred_server, RemainingServer, CAPACITY_RATIO,
@@ -11,37 +11,38 @@
 use crate::state::server_table::ServerSlot;
 use crate::{Health, Settings, Timestamp};
 
-/// Known servers past which nothing is redistributed: its cost and memory grow with their square.
+/// Above this number of known servers, nothing is redistributed: cost and memory grow with its square.
 const MAX_SERVERS: usize = 200;
-/// Part by which the usual weight of all servers approaches the present one each second.
+/// Fraction by which the usual weight of all servers approaches the present one each second.
 const USUAL_WEIGHT_ADAPTATION: f64 = 0.02;
-/// Keys are redistributed once this part of that weight was lost at once and without notice ...
+/// Keys are redistributed once this fraction of the usual weight is lost at once and without notice ...
 const MIN_LOST_RATIO: f64 = 0.2;
-/// ... for as long as no more than this part of it remains.
+/// ... for as long as less than this fraction of the usual capacity remains.
 const MAX_REMAINING_RATIO: f64 = 0.75;
-/// All nodes together may hold this many connections on a server in any case: a node that has just started, or one of a
-/// hundred, cannot tell an idle fleet.
+/// The minimum capacity of a server, in connections of all nodes: a node that has just started, or one of a hundred,
+/// cannot recognize an idle fleet.
 const MIN_FLEET_CONNECTIONS: f64 = 15.0;
 
 #[derive(Default)]
 pub(crate) struct KeyRedistribution {
-    /// The weight of all servers as it usually is.
+    /// The usual weight of all servers.
     usual_weight: f64,
-    /// The most connections that this node held lately.
+    /// The largest recent number of connections at this node.
     recent_connections: f64,
-    /// While too few servers remain, the hashes of all that the work was made for.
+    /// While too few servers remain, the hashes of all servers before the loss.
     all_servers: Vec<u32>,
 }
 
 impl KeyRedistribution {
-    /// Whether the server takes the key: all do where nothing is redistributed, and it keeps its own in any case.
+    /// Returns true if the server accepts the key: every server does unless keys are redistributed, and a server
+    /// keeps its own keys in any case.
     pub(crate) fn accepts_key(&self, server: &Server, key: u32) -> bool {
         self.all_servers.is_empty()
             || accepts_key_ratio(server.hash, key, server.redistribution_ratio)
             || preferred_server(&self.all_servers, key) == Some(server.hash)
     }
 
-    /// A second has passed.
+    /// Updates the usual weight and the recent connections, once a second.
     pub(crate) fn decay(&mut self, totals: &FleetTotals) {
         let change = totals.available_weight - self.usual_weight;
         self.usual_weight += USUAL_WEIGHT_ADAPTATION * change;
@@ -49,8 +50,9 @@
         self.recent_connections = f64::max(decayed, totals.connections);
     }
 
-    /// Redistributes the keys anew, or no longer. `lost_weight` is the weight that was just found to be gone without
-    /// notice: servers that drain leave their work in good order. Gives whether that began or widened it.
+    /// Starts, updates or ends the redistribution of keys. `lost_weight` is the weight that was just lost without
+    /// notice; servers that drain hand over their load in good order. Returns true if a loss began or widened the
+    /// redistribution.
     pub(crate) fn redistribute(
         &mut self,
         fleet: &mut Fleet,
@@ -112,7 +114,7 @@
     }
 }
 
-/// The part of its warm-up that the server has behind it; it is filled evenly over that.
+/// Returns the fraction of the server's warm-up that has passed; it is filled evenly over its warm-up.
 fn warm_up_progress(server: &Server, now: Timestamp, settings: &Settings) -> f64 {
     let Some(started_at) = server.started_at else {
         return 1.0;
@@ -122,7 +124,7 @@
     (elapsed / duration).min(1.0)
 }
 
-/// The ready servers that are not ejected.
+/// Returns the ready servers that are not ejected.
 fn available_slots(fleet: &Fleet) -> Vec<ServerSlot> {
     let is_available =
         |server: &Server| server.health == Health::Ready && server.ejection.until.is_none();
--- a/crates/placement/src/recovery/load_shedding.rs
+++ b/crates/placement/src/recovery/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: connections are migrated off a server that holds more than its concurrency limit.
+//! Load shedding: migration of connections off a server that holds more than its concurrency limit.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::request::RequestState;
@@ -8,17 +8,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A connection that was established less than this ago is not migrated ...
+/// A connection that was established less than this long ago is not migrated, ...
 const MIN_CONNECTION_AGE: Duration = Duration::from_secs(2);
-/// ... or less than this, if it had come back from a break or a migration.
+/// ... or less than this, if its client reconnected after a break or a migration.
 const MIN_RECONNECTED_AGE: Duration = Duration::from_secs(8);
-/// What is migrated may exceed the excess load by this factor.
+/// The migrated load may exceed the excess load by this factor.
 const MAX_EXCESS_FACTOR: f64 = 1.5;
-/// The bits of a key that decide between equal groups.
+/// The rotation that moves the bits which decide between equal groups to the top of the key.
 const KEY_ROTATION: u32 = 16;
 
-/// The order in which groups are migrated where nothing else decides: those of tenants over their quota first, then by a
-/// hash, so that other nodes choose the same.
+/// The order in which groups of the same size are migrated: those of tenants over their quota first, then by a hash,
+/// so that all nodes choose the same groups.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupOrder {
     is_within_quota: bool,
@@ -37,11 +37,11 @@
     connections: Vec<Connection>,
 }
 
-/// The load that a server still holds too much.
+/// The load of a server beyond its limit that is still to be migrated.
 struct ExcessLoadBudget {
     excess: f64,
-    /// Drawn once from 0 to 1.
-    chance: f64,
+    /// A random number from 0 to 1, the same for all groups of one pass.
+    random: f64,
 }
 
 impl ExcessLoadBudget {
@@ -49,12 +49,13 @@
         self.excess > 0.0 && load <= self.excess * MAX_EXCESS_FACTOR
     }
 
-    /// Takes a whole group off the excess, if it fits. A single connection cannot be migrated in part: it is migrated as
-    /// often as its part would be due, or every node that holds one would migrate it at once.
+    /// Subtracts a whole group from the excess and returns true, if it fits. A single connection cannot be migrated
+    /// in part: if it is too large, it is migrated with the probability excess / load; otherwise every node that
+    /// holds such a connection would migrate it at once.
     fn take_group(&mut self, group: &ConnectionGroup) -> bool {
         let is_single = group.connections.len() == 1;
-        let is_due_by_chance = is_single && group.load * self.chance <= self.excess;
-        let is_taken = self.fits(group.load) || (self.excess > 0.0 && is_due_by_chance);
+        let is_due_at_random = is_single && group.load * self.random <= self.excess;
+        let is_taken = self.fits(group.load) || (self.excess > 0.0 && is_due_at_random);
         if is_taken {
             self.excess -= group.load;
         }
@@ -71,16 +72,17 @@
 }
 
 impl Balancer {
-    /// Migrates connections off a server until it holds no more than its limit: whole groups with their overhead, small
-    /// ones first since each frees as much of that. Only where none fits is a group split, heaviest connections first.
+    /// Migrates connections off a server until its load is within its limit: whole groups with their overhead, small
+    /// ones first, since each frees the same overhead. Only if no whole group fits is a group split, heaviest
+    /// connections first.
     pub(crate) fn shed_load(&mut self, now: Timestamp, slot: ServerSlot, actions: &mut Actions) {
-        let chance = self.jitter();
+        let random = self.jitter();
         let Some(server) = self.fleet.servers.get(slot) else {
             return;
         };
         let mut budget = ExcessLoadBudget {
             excess: server.load - server.limit.max_load,
-            chance,
+            random,
         };
         let groups = self.migratable_groups(now, server);
         let (taken, remaining): (Vec<ConnectionGroup>, Vec<ConnectionGroup>) = groups
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The groups that may be migrated, in the order in which they are.
+    /// Returns the groups that may be migrated, in the order of migration.
     fn migratable_groups(&self, now: Timestamp, server: &Server) -> Vec<ConnectionGroup> {
         let group_overhead = self.group_overhead();
         let mut groups: BTreeMap<GroupOrder, ConnectionGroup> = BTreeMap::new();
@@ -145,7 +147,7 @@
     }
 }
 
-/// Whether the connection is established and old enough to be migrated.
+/// Returns true if the connection is established and old enough to be migrated.
 fn may_shed(now: Timestamp, request: &RequestState) -> bool {
     let min_age = if request.is_reconnect {
         MIN_RECONNECTED_AGE
--- a/crates/placement/src/recovery/load_shedding/tests.rs
+++ b/crates/placement/src/recovery/load_shedding/tests.rs
@@ -10,8 +10,8 @@
     ConnectionGroup { load, connections }
 }
 
-fn budget(excess: f64, chance: f64) -> ExcessLoadBudget {
-    ExcessLoadBudget { excess, chance }
+fn budget(excess: f64, random: f64) -> ExcessLoadBudget {
+    ExcessLoadBudget { excess, random }
 }
 
 #[test]
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn a_heavy_single_connection_is_taken_as_often_as_its_part_is_due() {
+fn a_heavy_single_connection_is_taken_in_proportion_to_the_excess() {
     assert!(budget(1.0, 0.2).take_group(&group(5.0, 1)));
     assert!(!budget(1.0, 0.3).take_group(&group(5.0, 1)));
     assert!(!budget(0.0, 0.0).take_group(&group(5.0, 1)), "no excess");
 }
 
 #[test]
-fn connections_are_left_alone_until_they_are_old_enough() {
+fn connections_are_not_shed_until_they_are_old_enough() {
     let second = 1_000_000_000;
     let mut request = RequestState {
         in_flight: Some(crate::state::request::Attempt {
--- a/crates/placement/src/recovery/lost_servers.rs
+++ b/crates/placement/src/recovery/lost_servers.rs
@@ -1,13 +1,14 @@
-//! What follows when many servers are lost at once.
+//! Reaction to the loss of many servers at once.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::request::RequestState;
 use crate::{Health, RequestId, Timestamp};
 
 impl Balancer {
-    /// Redistributes keys over the remaining servers, the same at every node, and migrates what they hold of others.
-    /// Guards against the work of all on the few that remain, which fall in turn before anything has shown them
-    /// overloaded. Load reports tell better than a loss that keys are to be redistributed.
+    /// Redistributes keys over the remaining servers, in the same way at every node, and migrates their connections
+    /// whose keys they do not accept. Guards against the whole load on a few remaining servers, which would fail one
+    /// after another before any overload is detected. With load reports a loss starts no redistribution, since the
+    /// reports are the better signal.
     pub(crate) fn redistribute_keys(
         &mut self,
         now: Timestamp,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Requests at servers that no longer take their keys, in the order of their ids.
+    /// Returns the requests at servers that do not accept their keys, in the order of their ids.
     fn misplaced_requests(&self) -> Vec<RequestId> {
         let mut misplaced: Vec<RequestId> = self
             .requests
@@ -37,7 +38,7 @@
             .filter(|(_, request)| self.is_misplaced(request))
             .map(|(id, _)| *id)
             .collect();
-        misplaced.sort(); // the order of the map differs from run to run
+        misplaced.sort(); // the iteration order of the map differs between runs
         misplaced
     }
 
--- a/crates/placement/src/recovery/migration.rs
+++ b/crates/placement/src/recovery/migration.rs
@@ -1,13 +1,13 @@
-//! Migration of established connections to other servers: their clients are asked to reconnect.
+//! Migration of established connections to other servers, by asking their clients to reconnect.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::server_table::ServerSlot;
 use crate::{Action, RequestId};
 
-/// How many connections may be migrated at once.
+/// The limit on migrations.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MigrationAllowance {
-    /// As many as the budget has.
+    /// Limited by the migration budget.
     Budget,
     Unlimited,
 }
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Migrates all connections of a server on which nobody is served.
+    /// Migrates the connections of a server that does not answer.
     pub(crate) fn migrate_all(
         &mut self,
         slot: ServerSlot,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A connection's messages go unanswered: it is migrated whatever the budget, for nobody is served on it.
+    /// Migrates a connection whose messages are unanswered, regardless of the budget: it is of no use to its client.
     pub(crate) fn on_connection_unresponsive(&mut self, id: RequestId, actions: &mut Actions) {
         self.migration_budget.allow_at_least(1.0);
         self.migrate(id, actions);
--- a/crates/placement/src/recovery/migration_budget/tests.rs
+++ b/crates/placement/src/recovery/migration_budget/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_part_of_the_connections_may_be_migrated_each_second() {
+fn a_fraction_of_the_connections_may_be_migrated_each_second() {
     let mut budget = MigrationBudget::default();
     budget.refill(100.0);
     assert_eq!(spend_all(&mut budget), 15);
--- a/crates/placement/src/recovery/mod.rs
+++ b/crates/placement/src/recovery/mod.rs
@@ -1,5 +1,5 @@
-//! Recovery from failed and overloaded servers: outlier detection and ejection, zone outages, migration of connections,
-//! load shedding, redistribution of keys, and the upkeep that runs once a second.
+//! Recovery from failed and overloaded servers: outlier detection and ejection, zone outages, migration of
+//! connections, load shedding, redistribution of keys, and the periodic upkeep.
 
 pub(crate) mod drain_migration;
 pub(crate) mod ejection;
--- a/crates/placement/src/recovery/outlier_detection.rs
+++ b/crates/placement/src/recovery/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: what the ends of attempts and health checks tell of servers, and which are ejected for it.
+//! Outlier detection: counts the failures of servers in attempts and health checks, and ejects servers for them.
 
 use crate::balancer::{Actions, Balancer};
 use crate::limits::overload::ExcessLoad;
@@ -10,28 +10,29 @@
 use crate::{Outcome, ServerId, Timestamp};
 use std::time::Duration;
 
-/// At most this part of the ready servers may be ejected on evidence; past it the evidence is not believed.
+/// At most this fraction of the reachable servers may be ejected on inconclusive failures, which are ignored beyond
+/// it.
 const MAX_EJECTED_RATIO: f64 = 0.5;
-/// Established connections that a server drops within this time of each other broke by its doing.
+/// Established connections that break at a server within this time of each other were dropped by the server.
 const DROPPED_TOGETHER_WINDOW: Duration = Duration::from_secs(1);
-/// A server that rejects attempts or drops connections retains this part of what it holds.
+/// The fraction of its load that a server retains after it rejected an attempt or dropped connections.
 const OVERLOAD_RETAINED_RATIO: f64 = 0.9;
 
-/// Evidence against a server.
+/// A kind of failure of a server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// It erred. It may still serve its established connections.
+    /// The server returned an error. It may still serve its established connections.
     Error,
-    /// It did not answer once.
+    /// The server did not answer once.
     NoAnswer,
-    /// It takes no connection.
+    /// The server accepts no connection.
     Unavailable,
-    /// It has not answered for so long that nobody is served there.
+    /// The server has not answered for so long that its clients are not served.
     Stalled,
 }
 
 impl Failure {
-    /// The number of failures that it counts for.
+    /// The number of failures that this one counts for.
     fn weight(self) -> u32 {
         match self {
             Failure::Error | Failure::NoAnswer => 1,
@@ -39,19 +40,20 @@
         }
     }
 
-    /// Whether it is believed however many servers are ejected.
+    /// Returns true if the failure counts however many servers are ejected.
     fn is_conclusive(self) -> bool {
         self.weight() >= EJECTION_FAILURES
     }
 
-    /// Whether the server does not answer at all, so that nobody is served on its established connections.
+    /// Returns true if the server does not answer at all, so that the clients of its established connections are not
+    /// served.
     fn is_unresponsive(self) -> bool {
         matches!(self, Failure::NoAnswer | Failure::Stalled)
     }
 }
 
 impl Balancer {
-    /// An attempt ended. `is_finished`: its request needs no other one.
+    /// Evaluates the end of an attempt. `is_finished`: its request needs no further attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Timestamp,
@@ -82,7 +84,7 @@
         }
     }
 
-    /// No connection came up: the fault is the server's, its zone's, or that of something behind all servers.
+    /// Handles a failed setup: the fault is the server's, its zone's, or behind all servers.
     fn on_setup_failed(
         &mut self,
         now: Timestamp,
@@ -92,7 +94,7 @@
     ) {
         let slot = attempt.server;
         let timed_out = outcome == Outcome::TimedOut;
-        // An unreachable zone says nothing of what is behind all servers or of how long a setup takes.
+        // An unreachable zone says nothing about a fault behind all servers or about the time that a setup takes.
         if timed_out && self.on_no_answer(now, slot, actions) {
             return;
         }
@@ -103,7 +105,7 @@
         if self.shared_failures.is_detected() {
             let duration = now.saturating_duration_since(attempt.sent_at);
             self.setup_window
-                .record_shared_failure(now, duration, &mut self.jitter_random);
+                .record_shared_failure(now, duration, &mut self.jitter_rng);
             return;
         }
         let failure = if timed_out {
@@ -114,8 +116,8 @@
         self.record_failure(now, slot, failure, actions);
     }
 
-    /// Networks break single connections. Where several break at once the server drops them to save the rest, or every
-    /// one broke and it is gone though listed.
+    /// Handles a broken connection. The network may break a single connection. If several break at once, the server
+    /// drops them because it is overloaded; if all broke, it has failed although it is still listed.
     fn on_connection_dropped(&mut self, now: Timestamp, slot: ServerSlot, actions: &mut Actions) {
         let Some(server) = self.fleet.servers.get_mut(slot) else {
             return;
@@ -134,8 +136,8 @@
         }
     }
 
-    /// Counts a failure and ejects the server once it is due. Guards against servers that died or answer nothing, long
-    /// before the endpoint list tells.
+    /// Counts a failure and ejects the server once it is due. Guards against servers that failed or do not answer,
+    /// long before the endpoint list reports it.
     pub(crate) fn record_failure(
         &mut self,
         now: Timestamp,
@@ -153,9 +155,9 @@
         server.ejection.consecutive_failures += failure.weight();
         let is_ejected = server.ejection.until.is_some();
         let ejected_others = ejected - f64::from(u8::from(is_ejected));
-        let is_believed =
+        let is_credible =
             failure.is_conclusive() || ejected_others + 1.0 <= reachable * MAX_EJECTED_RATIO;
-        if !is_believed || !server.ejection.is_due(now) {
+        if !is_credible || !server.ejection.is_due(now) {
             return;
         }
         self.fleet.update(slot, |server| {
@@ -167,8 +169,8 @@
         }
     }
 
-    /// None of the server's established connections is answered. Whether it died or was cut off, it may come back
-    /// warming up.
+    /// Ejects a server that answers on none of its established connections. Whether it failed or was unreachable, it
+    /// may be warming up when it returns.
     pub(crate) fn on_server_unresponsive(
         &mut self,
         now: Timestamp,
--- a/crates/placement/src/recovery/upkeep.rs
+++ b/crates/placement/src/recovery/upkeep.rs
@@ -1,4 +1,4 @@
-//! The upkeep that runs once a second. Its cost follows what the node holds, not the size of the fleet.
+//! The periodic upkeep, run once a second. Its cost follows the node's connections, not the size of the fleet.
 
 use crate::balancer::{Actions, Balancer};
 use crate::limits::slow_start::SlowStartRefill;
@@ -10,12 +10,12 @@
 use crate::{Health, Timer, Timestamp};
 use std::time::Duration;
 
-/// Servers that are gone are forgotten after this time.
-const GONE_SERVER_RETENTION: Duration = Duration::from_secs(60);
-/// A server that was overloaded less than this ago is counted as overloaded for its machine kind.
-const OVERLOAD_COUNTED_FOR: Duration = Duration::from_millis(1500);
+/// Removed servers are kept for this long.
+const REMOVED_SERVER_RETENTION: Duration = Duration::from_secs(60);
+/// A server that was overloaded within this time counts as overloaded for its machine kind.
+const OVERLOAD_COUNT_WINDOW: Duration = Duration::from_millis(1500);
 
-/// The loads that servers are measured with, as they are before any server is looked at.
+/// The mean loads used for all servers of one upkeep, computed before any server is updated.
 struct LoadBasis {
     mean_load: f64,
     group_overhead: f64,
@@ -23,7 +23,7 @@
 }
 
 impl Balancer {
-    /// Sets the first upkeep at a random moment, so that nodes that start together do not run it together.
+    /// Schedules the first upkeep at a random time, so that nodes that start together do not run it together.
     pub(crate) fn schedule_first_upkeep(&mut self, actions: &mut Actions) {
         let after = UPKEEP_INTERVAL.mul_f64(0.5 + self.jitter());
         actions.push(set_timer(Timer::Upkeep, after));
@@ -55,13 +55,13 @@
             let Some(server) = self.fleet.servers.get(slot) else {
                 continue;
             };
-            if is_forgotten(now, server) {
+            if is_expired(now, server) {
                 self.fleet.remove(slot);
                 continue;
             }
             if is_in_use(server) {
                 let overloaded_at = server.limit.overloaded_at;
-                let is_overloaded = happened_within(now, overloaded_at, OVERLOAD_COUNTED_FOR);
+                let is_overloaded = happened_within(now, overloaded_at, OVERLOAD_COUNT_WINDOW);
                 self.machine_kinds
                     .record(server.machine_kind, is_overloaded);
             }
@@ -86,11 +86,11 @@
                 refill.refill(settings, now, server);
             }
             server.limit.recover(now, basis.fair_load_per_weight);
-            server.indexes.needs_upkeep = false; // set again by the update, if it still does
+            server.indexes.needs_upkeep = false; // set again by the update, if it is still needed
         });
     }
 
-    /// Accounts for the server's connections anew, with the present means where their load is not known.
+    /// Recomputes the load of the server's connections, with the present means for unknown loads.
     fn recompute_load(&mut self, slot: ServerSlot, basis: &LoadBasis) -> f64 {
         let Some(server) = self.fleet.servers.get(slot) else {
             return 0.0;
@@ -111,14 +111,15 @@
     }
 }
 
-/// A server that is gone is remembered for a while, or one listed anew as draining would be given its grace twice.
-fn is_forgotten(now: Timestamp, server: &Server) -> bool {
+/// Returns true if a removed server may be dropped. It is kept for a while; otherwise a server that is listed again
+/// as draining would get a second drain grace.
+fn is_expired(now: Timestamp, server: &Server) -> bool {
     server.health == Health::Removed
         && server.connections.is_empty()
-        && now.saturating_duration_since(server.draining_since) >= GONE_SERVER_RETENTION
+        && now.saturating_duration_since(server.draining_since) >= REMOVED_SERVER_RETENTION
 }
 
-/// Whether what the server holds tells something of its machine kind.
+/// Returns true if the server's load is representative of its machine kind.
 fn is_in_use(server: &Server) -> bool {
     !server.connections.is_empty()
         && !server.slow_start.is_active
--- a/crates/placement/src/recovery/zone_outage.rs
+++ b/crates/placement/src/recovery/zone_outage.rs
@@ -1,4 +1,4 @@
-//! Zones that cannot be reached: how they are found out, and what becomes of their servers.
+//! Zone outages: detection of unreachable zones, and ejection of their servers.
 
 use crate::balancer::{Actions, Balancer};
 use crate::recovery::migration::MigrationAllowance;
@@ -6,16 +6,16 @@
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Servers of one zone that cannot be reached within this time may tell that the whole zone cannot be, and so long they
-/// are left alone.
+/// Servers of one zone that are unreachable within this window may indicate an outage of the whole zone. It is also
+/// the longest time that servers are ejected for with their zone.
 const ZONE_OUTAGE_WINDOW: Duration = Duration::from_secs(2);
-/// Ejections with a zone last at least this part of that, the rest is drawn.
+/// The minimum duration of an ejection with the zone, as a fraction of the window; the rest is random.
 const MIN_OUTAGE_RATIO: f64 = 0.5;
-/// Servers that are checked at once to see whether their zone can be reached.
+/// Servers that are checked at once to find out whether their zone is reachable.
 const MAX_ZONE_CHECKS: usize = 8;
 
 impl Balancer {
-    /// A server cannot be reached. Guards against a zone that is lost and tried server by server.
+    /// Records an unreachable server. Guards against a lost zone whose servers are tried one by one.
     pub(crate) fn on_server_unreachable(
         &mut self,
         now: Timestamp,
@@ -24,7 +24,7 @@
     ) {
         let duration_ratio = MIN_OUTAGE_RATIO + (1.0 - MIN_OUTAGE_RATIO) * self.jitter();
         let until = now.saturating_add(ZONE_OUTAGE_WINDOW.mul_f64(duration_ratio));
-        // Only a health check can tell that the zone is back before the next attempt there.
+        // Only a health check can show that the zone is reachable before the next attempt there.
         let is_lasting = self.reports_utilization();
         let zone_slots = self
             .fleet
@@ -43,15 +43,16 @@
             self.redistribute_keys(now, lost_weight, actions);
         }
         if is_new_outage {
-            // What failed on the way there says nothing of setups elsewhere.
+            // Failures to reach the zone say nothing about setups elsewhere.
             self.shared_failures.reset();
             self.setup_window.reopen(now);
         }
     }
 
-    /// An attempt or a health check got no answer. Gives whether the server's zone cannot be reached, which is taken to be
-    /// so while another zone answers; what is known not to answer there then serves nobody. Guards against a zone that is
-    /// cut off, whose servers are tried one by one, and whose timeouts pass for a fault behind all servers.
+    /// Records an unanswered attempt or health check, and returns true if the server's zone is unreachable, which is
+    /// assumed only while another zone answers. Connections on its servers that are known not to answer are then
+    /// migrated. Guards against an unreachable zone whose servers are tried one by one, and whose time-outs look like
+    /// a fault behind all servers.
     pub(crate) fn on_no_answer(
         &mut self,
         now: Timestamp,
@@ -59,7 +60,7 @@
         actions: &mut Actions,
     ) -> bool {
         if !self.reports_utilization() {
-            return false; // a server that is slow to set up looks no different
+            return false; // a server with slow setups would look the same
         }
         self.check_zones_around(now, slot, actions);
         let others_answer = self
@@ -79,7 +80,7 @@
         is_unreachable
     }
 
-    /// Checks the others of a zone in which one does not answer, and one elsewhere.
+    /// Checks other servers of the zone, and one server elsewhere, after one server did not answer.
     fn check_zones_around(&mut self, now: Timestamp, slot: ServerSlot, actions: &mut Actions) {
         let Some(zone) = self.fleet.zone_of(slot) else {
             return;
@@ -92,12 +93,12 @@
         }
     }
 
-    /// Checks one server of each zone that cannot be reached.
+    /// Checks one server of each unreachable zone.
     pub(crate) fn check_unreachable_zones(&mut self, now: Timestamp, actions: &mut Actions) {
         for zone in self.fleet.unreachable_zones() {
             let slots = self.fleet.ready_in_zones(|other| other == zone);
-            let position = (self.jitter() * slots.len() as f64) as usize;
-            if let Some(slot) = slots.get(position) {
+            let index = (self.jitter() * slots.len() as f64) as usize;
+            if let Some(slot) = slots.get(index) {
                 self.send_health_check(now, *slot, actions);
             }
         }
--- a/crates/placement/src/recovery/zone_reachability.rs
+++ b/crates/placement/src/recovery/zone_reachability.rs
@@ -1,13 +1,13 @@
-//! Which zones can be reached from this node, as far as its servers' answers tell.
+//! Reachability of zones from this node, inferred from the answers of their servers.
 
 use crate::state::server_table::ServerSlot;
 use crate::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// So many unreachable servers tell that their zone is unreachable, where none of the others holds connections.
+/// The number of unreachable servers that indicates a zone outage if no other server of the zone holds connections.
 const MIN_UNREACHABLE: usize = 2;
-/// So many tell it in any case, for connections may be established that nobody answers on.
+/// The number that indicates an outage in any case, since established connections may be unanswered.
 const MIN_UNREACHABLE_WITH_CONNECTIONS: usize = 3;
 
 struct UnreachableServer {
@@ -17,15 +17,15 @@
 
 #[derive(Default)]
 pub(crate) struct ZoneReachability {
-    /// The servers of each zone that could not be reached lately.
+    /// The recently unreachable servers of each zone.
     unreachable_servers: BTreeMap<u32, Vec<UnreachableServer>>,
-    /// When something in each zone last answered.
+    /// The time of the last answer from each zone.
     answered_at: BTreeMap<u32, Timestamp>,
     unreachable_zones: BTreeSet<u32>,
 }
 
 impl ZoneReachability {
-    /// A server could not be reached; earlier ones count for `window`. Gives whether its zone may be unreachable.
+    /// Records an unreachable server; earlier ones count for `window`. Returns true if its zone may be unreachable.
     pub(crate) fn record_unreachable(
         &mut self,
         now: Timestamp,
@@ -44,8 +44,8 @@
         servers.len() >= MIN_UNREACHABLE || self.unreachable_zones.contains(&zone)
     }
 
-    /// Whether the zone is taken to be unreachable as a whole. A zone is lost long before the endpoint list tells, and a
-    /// node that holds little would have to find out about each of its servers by an attempt.
+    /// Returns true if the whole zone is assumed to be unreachable. A zone is lost long before the endpoint list
+    /// reports it, and a node with few connections would have to discover each failed server by an attempt.
     pub(crate) fn confirms_outage(&self, zone: u32, others_have_connections: bool) -> bool {
         let server_count = self.unreachable_servers.get(&zone).map_or(0, Vec::len);
         self.unreachable_zones.contains(&zone)
@@ -53,26 +53,26 @@
             || !others_have_connections
     }
 
-    /// The zone counts as unreachable until something in it answers.
+    /// Marks the zone as unreachable until any of its servers answers.
     pub(crate) fn mark_unreachable(&mut self, zone: u32) {
         self.unreachable_zones.insert(zone);
     }
 
-    /// Something in the zone answers. Gives whether the zone was unreachable before.
+    /// Records an answer from the zone. Returns true if the zone was unreachable before.
     pub(crate) fn record_answer(&mut self, now: Timestamp, zone: u32) -> bool {
         self.unreachable_servers.remove(&zone);
         self.answered_at.insert(zone, now);
         self.unreachable_zones.remove(&zone)
     }
 
-    /// Whether something outside the zone has answered within `window`.
+    /// Returns true if any other zone has answered within `window`.
     pub(crate) fn answered_outside(&self, now: Timestamp, zone: u32, window: Duration) -> bool {
         self.answered_at.iter().any(|(other, answered_at)| {
             *other != zone && now.saturating_duration_since(*answered_at) < window
         })
     }
 
-    /// The zone's servers that could not be reached lately.
+    /// Returns the recently unreachable servers of the zone.
     pub(crate) fn unreachable_servers(&self, zone: u32) -> Vec<ServerSlot> {
         let servers = self.unreachable_servers.get(&zone);
         servers
--- a/crates/placement/src/timer.rs
+++ b/crates/placement/src/timer.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 pub(crate) const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often queued requests are looked at when nothing else happens.
+/// The interval at which queued requests are checked if no other event occurs.
 pub(crate) const QUEUE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The action that sets a timer.
+/// Returns the action that sets a timer.
 pub(crate) fn set_timer(timer: Timer, after: Duration) -> Action {
     Action::SetTimer { after, timer }
 }
 
-/// A timer that is set again only after it has fired.
+/// A timer that can be set again only after it has fired.
 pub(crate) struct SingleTimer {
     timer: Timer,
     is_set: bool,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sets the timer, unless it is set.
+    /// Returns the action that sets the timer, unless it is already set.
     pub(crate) fn set_after(&mut self, after: Duration) -> Option<Action> {
         if self.is_set {
             return None;
--- a/crates/placement/tests/rules.rs
+++ b/crates/placement/tests/rules.rs
@@ -128,7 +128,8 @@
             3 if is_waiting && self.draw(6) == 0 => {
                 let record = self.harness.requests.get_mut(&id).unwrap();
                 record.final_answer_count = 1;
-                self.harness.deliver(Event::ClientGone(RequestId(id)));
+                self.harness
+                    .deliver(Event::ClientDisconnected(RequestId(id)));
             }
             _ => {}
         }
@@ -215,11 +216,11 @@
 fn events_about_finished_requests_are_ignored() {
     let mut harness = Harness::with_servers(settings(RetrySafety::Idempotent), &["a", "b"]);
     harness.receive(request(1, "user:1", harness.now + 3_000 * MS));
-    harness.deliver(Event::ClientGone(RequestId(1)));
+    harness.deliver(Event::ClientDisconnected(RequestId(1)));
     harness.requests.get_mut(&1).unwrap().final_answer_count = 1;
     harness.end_attempt(1, Outcome::TimedOut);
     for event in [
-        Event::ClientGone(RequestId(1)),
+        Event::ClientDisconnected(RequestId(1)),
         Event::ConnectionEstablished {
             request: RequestId(1),
             setup_duration: ms(3),
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -390,7 +390,7 @@
                     self.start_attempt(now, request, truth, actions);
                 }
             }
-            Event::ClientGone(request) => {
+            Event::ClientDisconnected(request) => {
                 self.release(request);
                 self.requests.remove(&request);
             }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -355,7 +355,7 @@
         let attempt = state.attempts.saturating_sub(1);
         self.clients[client as usize].answered = true;
         self.release(client);
-        self.deliver_event(node, Event::ClientGone(RequestId(request)));
+        self.deliver_event(node, Event::ClientDisconnected(RequestId(request)));
         if has_attempt {
             self.deliver_attempt_end(EndedAttempt {
                 node,
