--- a/crates/placement/src/api/ids.rs
+++ b/crates/placement/src/api/ids.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// The name of a server: the same at every node and across restarts of both. Ordered as text.
+/// The name of a server, the same at every node and after restarts of the server or a node. Ordered as text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub Arc<str>);
 
--- a/crates/placement/src/api/settings.rs
+++ b/crates/placement/src/api/settings.rs
@@ -64,7 +64,7 @@
     pub gossip_allowed: bool,
     /// Whether servers may be health-checked ([`Action::CheckHealth`](crate::Action::CheckHealth)).
     pub health_checks_allowed: bool,
-    /// The cost of one health check per request, in points of the deployment's score; zero if health checks are free.
+    /// Points taken off the deployment's score for one health check per request; zero if health checks are free.
     pub health_check_cost: f64,
     /// Index of the utilization (load over capacity) in a load report; `None` if reports do not contain it.
     pub utilization_field: Option<usize>,
@@ -87,7 +87,7 @@
 }
 
 impl Settings {
-    /// The shortest message objective of any class; zero if no class has one.
+    /// Returns the shortest message objective of any class, or zero if no class has one.
     pub fn min_message_objective(&self) -> Duration {
         self.classes
             .iter()
--- a/crates/placement/src/cost_tests.rs
+++ b/crates/placement/src/cost_tests.rs
@@ -119,8 +119,8 @@
     ROWS_READ.get()
 }
 
-/// When placement and upkeep both walked all servers, a node's upkeep at one request a second cost as much as its
-/// requests.
+/// Guards against placement and upkeep that walk all servers: at one request a second, such an upkeep cost a node as
+/// much as its requests.
 #[test]
 fn the_rows_that_a_node_reads_follow_its_connections_not_the_size_of_the_fleet() {
     let (small, large) = (rows_read(30), rows_read(900));
--- a/crates/placement/src/endpoints.rs
+++ b/crates/placement/src/endpoints.rs
@@ -79,7 +79,7 @@
         self.apply_endpoint_changes(now, entries, actions);
     }
 
-    /// Applies changed entries, which already include the drains by an administrator.
+    /// Applies changed entries, in which the drains by an administrator are already included.
     pub(crate) fn apply_endpoint_changes(
         &mut self,
         now: Timestamp,
--- a/crates/placement/src/policy/admission.rs
+++ b/crates/placement/src/policy/admission.rs
@@ -25,7 +25,7 @@
 /// A tenant over its quota may fill only this fraction of a server's concurrency limit.
 const OVER_QUOTA_LIMIT_RATIO: f64 = 0.8;
 
-/// Lower bound of the key ratio that others are divided by.
+/// Lower bound of the divisor of key ratios.
 const MIN_KEY_RATIO: f64 = 1e-9;
 
 /// The treatment of servers that hold more than their fair share of the load.
@@ -69,8 +69,8 @@
 }
 
 impl FillLimits {
-    /// Guards against servers that fill up with the shared work of many groups while they hold few connections of
-    /// each.
+    /// Returns tighter limits for new groups. Guards against servers that fill up with the shared work of many groups
+    /// while they hold few connections of each.
     fn new(serves_group: bool, context: &AdmissionContext) -> FillLimits {
         if serves_group {
             FillLimits {
--- a/crates/placement/src/policy/retry.rs
+++ b/crates/placement/src/policy/retry.rs
@@ -19,8 +19,8 @@
 }
 
 impl Balancer {
-    /// Returns true if the present attempt may still be sent to its server after its connection is established: the
-    /// time for a retry after a possible execution may be over by then.
+    /// Returns true if the present attempt may still be sent once its connection is established: the time for a retry
+    /// after a possible execution may have passed by then.
     pub fn can_still_send(&self, now: Timestamp, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Removes the attempt from its request, and records that it may have been executed.
+    /// Removes the attempt from its request, and records a possible execution unless the outcome excludes it.
     fn take_attempt(&mut self, id: RequestId, outcome: Outcome) -> Option<Attempt> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.in_flight.take()?;
--- a/crates/placement/src/policy/retry_safety.rs
+++ b/crates/placement/src/policy/retry_safety.rs
@@ -1,4 +1,4 @@
-//! Rules on whether and where a request may be retried, and the time-out of an attempt.
+//! Rules on whether and where a request may be retried, and the timeout of an attempt.
 
 use crate::state::request::RequestState;
 use crate::state::server::Server;
@@ -7,9 +7,9 @@
 
 /// Fraction of the setup objective after which the first attempt times out.
 const ATTEMPT_TIMEOUT_RATIO: f64 = 0.4;
-/// The minimum time-out of a first attempt, as a multiple of the mean setup time.
+/// The minimum timeout of a first attempt, as a multiple of the mean setup time.
 const MIN_TIMEOUT_PER_MEAN_SETUP: f64 = 4.0;
-/// The number of attempts after which the time-out stops doubling.
+/// The number of attempts after which the timeout stops doubling.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 8;
 
 impl RequestState {
@@ -17,7 +17,7 @@
         self.attempt_count < self.max_attempts
     }
 
-    /// Returns the time-out of the next attempt: short enough that another attempt fits into the setup objective,
+    /// Returns the timeout of the next attempt: short enough that another attempt fits into the setup objective,
     /// longer if setups are slow in the whole fleet, and the time to the deadline if no further attempt is possible
     /// or the class has no objective.
     pub(crate) fn attempt_timeout(&self, now: Timestamp, mean_setup_seconds: f64) -> Duration {
--- a/crates/placement/src/policy/retry_safety/tests.rs
+++ b/crates/placement/src/policy/retry_safety/tests.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn attempts_take_longer_each_time_and_the_last_one_until_the_deadline() {
+fn attempt_timeouts_double_and_the_last_one_lasts_until_the_deadline() {
     let mut request = request(RetrySafety::Idempotent);
     for (attempt_count, millis) in [(0, 400), (1, 800), (2, 1_600), (3, 10_000)] {
         request.attempt_count = attempt_count;
@@ -97,14 +97,14 @@
 }
 
 #[test]
-fn attempts_take_longer_where_setups_are_slow() {
+fn attempt_timeouts_are_longer_if_setups_are_slow() {
     let request = request(RetrySafety::Idempotent);
     let timeout = request.attempt_timeout(at_seconds(0), 0.5);
     assert_eq!(timeout, Duration::from_secs(2));
 }
 
 #[test]
-fn the_only_attempt_of_a_request_that_is_not_idempotent_takes_until_the_deadline() {
+fn the_only_attempt_of_a_request_that_is_not_idempotent_lasts_until_the_deadline() {
     let request = request(RetrySafety::NotIdempotent);
     let timeout = request.attempt_timeout(at_seconds(3), 0.0);
     assert_eq!(timeout, Duration::from_secs(7));
--- a/crates/placement/src/policy/selection.rs
+++ b/crates/placement/src/policy/selection.rs
@@ -17,7 +17,7 @@
 
 /// Candidates that are ranked at first. More are seldom needed.
 const FIRST_CANDIDATE_COUNT: usize = 4;
-/// A server is assumed to serve this multiple of its mean share of the requests before a group is split further.
+/// A server is assumed to be able to serve this multiple of its mean share of the requests; a larger group is split.
 const GROUP_SPLIT_FACTOR: f64 = 2.0;
 /// The fraction of keys that a machine kind declines, as a multiple of its excess overload rate.
 const DECLINED_KEYS_PER_OVERLOAD: f64 = 3.0;
--- a/crates/placement/src/recovery/gossip.rs
+++ b/crates/placement/src/recovery/gossip.rs
@@ -13,8 +13,8 @@
 pub(crate) const AVOID_SLOW_DURATION: Duration = Duration::from_millis(4500);
 /// The suffix of a hint about a server that does not answer at all.
 const STALLED_MARK: &str = "!";
-/// Detections of a slow server for each hint: among N nodes that hold connections there, each one sends a hint with
-/// the probability 1 / (this * N).
+/// Detections of a slow server for each hint: each of N nodes that hold connections there sends a hint with the
+/// probability 1 / (`DETECTIONS_PER_HINT` * N).
 const DETECTIONS_PER_HINT: f64 = 4.0;
 
 /// The condition of a server that a hint reports.
--- a/crates/placement/src/recovery/key_fitting.rs
+++ b/crates/placement/src/recovery/key_fitting.rs
@@ -30,7 +30,7 @@
     pub(crate) capacity: f64,
     /// The largest fraction of all keys that it may accept while it is warming up.
     pub(crate) max_ratio: f64,
-    /// The fraction that it accepts of the keys of lost servers that fall to it.
+    /// The fraction that it accepts of the lost servers' keys that reach it by rank.
     pub(crate) extra_ratio: f64,
 }
 
@@ -50,7 +50,7 @@
     extra: f64,
 }
 
-/// Returns true if the server accepts the key when it accepts this fraction of all keys.
+/// Returns true if the key is in the fraction `ratio` of the keys that the server accepts.
 pub(crate) fn accepts_key_ratio(server_hash: u32, key: u32, ratio: f64) -> bool {
     unit_interval(server_hash ^ key.rotate_left(KEY_ROTATION)) < ratio
 }
--- a/crates/placement/src/recovery/key_fitting/tests.rs
+++ b/crates/placement/src/recovery/key_fitting/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-/// Assigns keys after the loss of `lost_count` of `server_count` servers, and returns the peak and the mean load of the
-/// remaining servers as fractions of their capacity. For the peak, a server's own keys count as capacity if they exceed it.
+/// Assigns keys after the loss of `lost_count` of `server_count` servers, and returns the peak and the mean load of
+/// the remaining servers as fractions of their capacity. In the peak, a server's own keys count as capacity if they
+/// exceed it.
 fn peak_and_mean_load(
     server_count: u32,
     lost_count: u32,
--- a/crates/placement/src/recovery/key_redistribution.rs
+++ b/crates/placement/src/recovery/key_redistribution.rs
@@ -51,7 +51,7 @@
     }
 
     /// Starts, updates or ends the redistribution of keys. `lost_weight` is the weight that was just lost without
-    /// notice; servers that drain hand over their load in good order. Returns true if a loss began or widened the
+    /// notice; servers that drain hand over their load in an orderly way. Returns true if a loss began or widened the
     /// redistribution.
     pub(crate) fn redistribute(
         &mut self,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the fraction of the server's warm-up that has passed; it is filled evenly over its warm-up.
+/// Returns the fraction of the server's warm-up that has passed. A server is filled evenly over its warm-up.
 fn warm_up_progress(server: &Server, now: Timestamp, settings: &Settings) -> f64 {
     let Some(started_at) = server.started_at else {
         return 1.0;
--- a/crates/placement/src/recovery/outlier_detection.rs
+++ b/crates/placement/src/recovery/outlier_detection.rs
@@ -116,8 +116,9 @@
         self.record_failure(now, slot, failure, actions);
     }
 
-    /// Handles a broken connection. The network may break a single connection. If several break at once, the server
-    /// drops them because it is overloaded; if all broke, it has failed although it is still listed.
+    /// Handles a dropped connection. A single one may be the network's fault. If several are dropped at once, the
+    /// overloaded server drops them to keep the rest; if none is left, the server has failed although it is still
+    /// listed.
     fn on_connection_dropped(&mut self, now: Timestamp, slot: ServerSlot, actions: &mut Actions) {
         let Some(server) = self.fleet.servers.get_mut(slot) else {
             return;
--- a/crates/placement/src/recovery/shared_failures/tests.rs
+++ b/crates/placement/src/recovery/shared_failures/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn failures_at_one_server_are_its_own() {
+fn failures_at_one_server_are_not_shared() {
     let mut detector = SharedFailureDetector::default();
     for _ in 0..100 {
         detector.record_failure(1);
--- a/crates/placement/src/recovery/upkeep.rs
+++ b/crates/placement/src/recovery/upkeep.rs
@@ -1,4 +1,4 @@
-//! The periodic upkeep, run once a second. Its cost follows the node's connections, not the size of the fleet.
+//! The periodic upkeep, run once a second. Its cost depends on the node's connections, not on the size of the fleet.
 
 use crate::balancer::{Actions, Balancer};
 use crate::limits::slow_start::SlowStartRefill;
--- a/crates/placement/src/recovery/zone_outage.rs
+++ b/crates/placement/src/recovery/zone_outage.rs
@@ -6,8 +6,8 @@
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Servers of one zone that are unreachable within this window may indicate an outage of the whole zone. It is also
-/// the longest time that servers are ejected for with their zone.
+/// Servers of one zone that are unreachable within this window may indicate an outage of the whole zone. The window
+/// also bounds the ejection of the zone's servers.
 const ZONE_OUTAGE_WINDOW: Duration = Duration::from_secs(2);
 /// The minimum duration of an ejection with the zone, as a fraction of the window; the rest is random.
 const MIN_OUTAGE_RATIO: f64 = 0.5;
@@ -15,7 +15,8 @@
 const MAX_ZONE_CHECKS: usize = 8;
 
 impl Balancer {
-    /// Records an unreachable server. Guards against a lost zone whose servers are tried one by one.
+    /// Records an unreachable server, and ejects its whole zone if that may be unreachable. Guards against a lost
+    /// zone whose servers are tried one by one.
     pub(crate) fn on_server_unreachable(
         &mut self,
         now: Timestamp,
@@ -51,7 +52,7 @@
 
     /// Records an unanswered attempt or health check, and returns true if the server's zone is unreachable, which is
     /// assumed only while another zone answers. Connections on its servers that are known not to answer are then
-    /// migrated. Guards against an unreachable zone whose servers are tried one by one, and whose time-outs look like
+    /// migrated. Guards against an unreachable zone whose servers are tried one by one, and whose timeouts look like
     /// a fault behind all servers.
     pub(crate) fn on_no_answer(
         &mut self,
--- a/crates/placement/src/recovery/zone_reachability/tests.rs
+++ b/crates/placement/src/recovery/zone_reachability/tests.rs
@@ -56,12 +56,12 @@
     assert!(zones.unreachable_zones().is_empty());
     assert!(
         !zones.record_answer(at_millis(9_600), ZONE),
-        "known already"
+        "the zone is reachable already"
     );
 }
 
 #[test]
-fn answers_of_the_zone_itself_say_nothing_of_others() {
+fn answers_of_a_zone_do_not_count_as_answers_outside_it() {
     let mut zones = ZoneReachability::default();
     zones.record_answer(at_millis(0), ZONE);
     assert!(!zones.answered_outside(at_millis(100), ZONE, WINDOW));
