--- a/crates/placement/tests/common/fixtures.rs
+++ b/crates/placement/tests/common/fixtures.rs
@@ -1,19 +1,19 @@
-//! Settings, endpoints and requests with usual values, to be changed by struct update.
+//! Default settings, endpoints and requests; tests override fields with struct update syntax.
 
 use lupincrank_placement::{
     Class, Endpoint, Health, RequestId, RequestInfo, RetrySafety, Settings, Timestamp,
 };
 use std::time::Duration;
 
-/// Nanoseconds of a millisecond, for arithmetic on timestamps.
+/// Nanoseconds in a millisecond, for arithmetic on timestamps.
 pub const MS: u64 = 1_000_000;
 
-/// A duration in milliseconds.
+/// A duration of `count` milliseconds.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Settings of two nodes with one class of requests.
+/// Settings for two nodes and one request class.
 pub fn settings(retry_safety: RetrySafety) -> Settings {
     Settings {
         node_count: 2,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A ready server that started long ago.
+/// An endpoint of a ready, warm server.
 pub fn endpoint(name: &str) -> Endpoint {
     Endpoint {
         server: name.into(),
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,5 +1,9 @@
-//! What the tests of the placement crate share: fixtures, and a harness that plays the proxy around one balancer.
-#![allow(dead_code, unused_imports, reason = "each test target uses a part")]
+//! Fixtures shared by the tests of the placement crate, and a harness that acts as the proxy of one balancer.
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test target uses only some of it"
+)]
 
 mod fixtures;
 mod harness;
--- a/crates/placement/tests/common/records.rs
+++ b/crates/placement/tests/common/records.rs
@@ -1,4 +1,4 @@
-//! What the harness knows of requests, endpoints and timers.
+//! The harness's records of requests, endpoints and timers.
 
 use lupincrank_placement::{Endpoint, Outcome, RequestInfo, ServerId, Timer};
 
@@ -24,7 +24,7 @@
         self.outcome.is_none()
     }
 
-    /// Whether the server may have executed the request.
+    /// Returns true if the server may have executed the request.
     pub fn is_possibly_executed(&self) -> bool {
         !self.outcome.is_some_and(Outcome::proves_not_executed)
     }
@@ -62,17 +62,17 @@
     }
 }
 
-/// An endpoint as the balancer was last told of it.
+/// An endpoint as last delivered to the balancer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointRecord {
     pub zone: u32,
     pub cell: u32,
-    /// Since when it drains or is removed; `None` while it takes connections.
+    /// The time since which it is draining or removed; `None` while it accepts connections.
     pub leaving_since: Option<u64>,
 }
 
 impl EndpointRecord {
-    /// Records an entry of the list. `is_serving` says whether the server takes connections from now on.
+    /// Records an entry of the endpoint list. `is_serving` is true if the server accepts connections from now on.
     pub fn update(&mut self, entry: &Endpoint, is_serving: bool, now: u64) {
         self.zone = entry.zone;
         self.cell = entry.cell;
--- a/crates/placement/tests/failures/fixtures.rs
+++ b/crates/placement/tests/failures/fixtures.rs
@@ -1,4 +1,4 @@
-//! Harnesses with established connections, and what the tests of failures observe of them.
+//! Harnesses with established connections, and queries on them, for the tests of failures.
 
 use crate::common::*;
 use lupincrank_placement::*;
@@ -6,12 +6,12 @@
 /// The servers of most tests.
 pub const SERVERS: [&str; 6] = ["s1", "s2", "s3", "s4", "s5", "s6"];
 
-/// Settings whose requests may be retried freely.
+/// Settings under which all requests are idempotent and may be retried at any time.
 pub fn idempotent_settings() -> Settings {
     settings(RetrySafety::Idempotent)
 }
 
-/// A client of the group sends a request with five seconds to its deadline.
+/// Delivers a request of a client of the group, with a deadline in five seconds.
 pub fn receive(harness: &mut Harness, id: u64, group: &str) {
     let group = Some(group.to_string());
     harness.receive(RequestInfo {
@@ -20,7 +20,7 @@
     });
 }
 
-/// A balancer with established connections, one of each group in turn, after a time without events.
+/// Returns a harness with established connections, of each group in turn, after a period without events.
 pub fn with_established_connections(
     settings: Settings,
     servers: &[&str],
@@ -36,7 +36,7 @@
     harness
 }
 
-/// The requests whose latest attempt went to a server and that have no final answer.
+/// Returns the requests without a final answer whose latest attempt went to `server`.
 pub fn open_requests_on(harness: &Harness, server: &str) -> Vec<u64> {
     let is_open_there = |id: &u64| {
         !harness.requests[id].is_answered() && harness.server_of(*id).as_deref() == Some(server)
@@ -45,7 +45,7 @@
     ids.filter(is_open_there).collect()
 }
 
-/// The connections that the latest event migrated.
+/// Returns the connections that the latest event migrated.
 pub fn migrations(harness: &Harness) -> Vec<u64> {
     let migrated = |action: &Action| {
         if let Action::Migrate(id) = action {
@@ -57,7 +57,7 @@
     harness.last_actions.iter().filter_map(migrated).collect()
 }
 
-/// A message on a connection to the server took so many milliseconds.
+/// Reports a message delay of `delay` milliseconds on a connection to the server.
 pub fn report_delay(harness: &mut Harness, server: &str, delay: u64) {
     let id = open_requests_on(harness, server)[0];
     harness.deliver(Event::DelayObserved {
@@ -66,7 +66,7 @@
     });
 }
 
-/// The server with most open requests.
+/// Returns the server with the most open requests.
 pub fn busiest_server(harness: &Harness) -> &'static str {
     SERVERS
         .into_iter()
@@ -74,7 +74,7 @@
         .unwrap()
 }
 
-/// Settings with load reports, where health checks are too expensive to be made: reports come unasked.
+/// Settings with load reports, but with health checks too expensive to be sent: reports arrive without them.
 pub fn reporting_settings() -> Settings {
     Settings {
         health_checks_allowed: true,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Every server reports its load over its capacity.
+/// Delivers a load report with this utilization (load over capacity) of every server.
 pub fn report_utilization(harness: &mut Harness, utilization: f64) {
     for server in SERVERS {
         let report = Some(vec![utilization]);
@@ -96,7 +96,7 @@
     }
 }
 
-/// A node of a hundred with 200 servers of two machine kinds, and the servers' names.
+/// Returns one of a hundred nodes, with 200 servers of two machine kinds, and the servers' names.
 pub fn large_fleet(is_second_kind: fn(usize) -> bool) -> (Harness, Vec<String>) {
     let mut harness = Harness::new(
         Settings {
--- a/crates/placement/tests/failures/main.rs
+++ b/crates/placement/tests/failures/main.rs
@@ -1,5 +1,4 @@
-//! Failures found on rough days, each reproduced with one balancer or a few. Comments name the incident that showed it, where
-//! there is one.
+//! Regression tests for failures found in runs with faults, each reproduced with one balancer or a few.
 
 #[path = "../common/mod.rs"]
 mod common;
