--- a/crates/placement/src/admin_drain.rs
+++ b/crates/placement/src/admin_drain.rs
@@ -1,14 +1,15 @@
-//! Servers that an administrator drains, beside what service discovery says of them.
+//! Servers drained by an administrator, independently of service discovery.
 //!
-//! The policy sees a drained server as [`Health::Draining`], whatever the endpoint list says, so nothing new goes there. A
-//! server that is released counts as started when the list says, if that is after it was drained, and as just started
-//! otherwise: it was most likely restarted, and the list tells that late.
+//! The policy sees a drained server as [`Health::Draining`] even if the endpoint list reports it as ready, so no new
+//! connections are placed on it. The start of a released server is the one that the endpoint list reports if that is
+//! later than the drain; otherwise the server counts as just started, because it was most likely restarted and the list
+//! reports that late.
 
 use crate::{Endpoint, Health, ServerId, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Adds a server to a set of drained ones or removes it; whether the set changed.
+/// Adds a server to a set of drained servers or removes it. Returns true if the set changed.
 pub fn set_drained(drained: &mut BTreeSet<ServerId>, server: &ServerId, is_drained: bool) -> bool {
     if is_drained {
         drained.insert(server.clone())
@@ -17,28 +18,28 @@
     }
 }
 
-/// How far the gradual migration of a drained server's connections has come.
+/// Progress of the gradual migration of a drained server's connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainProgress {
     /// The drained server.
     pub server: ServerId,
-    /// Steps in which it must be empty, the present one included; at least 1.
+    /// Steps left to move all of its connections, the present one included; at least 1.
     pub remaining_steps: usize,
 }
 
 /// The last endpoint list and the servers drained by an administrator.
 #[derive(Default)]
 pub struct AdminDrain {
-    /// Endpoints as service discovery describes them.
+    /// Endpoints as reported by service discovery.
     endpoints: HashMap<ServerId, Endpoint>,
     drained: BTreeSet<ServerId>,
-    /// When each server of `drained` was drained.
+    /// The time at which each server in `drained` was drained.
     drained_at: HashMap<ServerId, Timestamp>,
 }
 
 impl AdminDrain {
-    /// Records entries of the endpoint list and gives them as the policy is to see them. An `is_complete` list replaces
-    /// the recorded one.
+    /// Records entries of the endpoint list and returns them as the policy sees them. With `is_complete`, they replace
+    /// all recorded entries.
     pub fn apply_endpoints(&mut self, entries: Vec<Endpoint>, is_complete: bool) -> Vec<Endpoint> {
         if is_complete {
             self.endpoints.clear();
@@ -52,7 +53,7 @@
             .collect()
     }
 
-    /// Whether the list has the server, or it is drained and can be released.
+    /// Returns true if the endpoint list contains the server or the server is drained, so that it can be released.
     pub fn knows(&self, server: &ServerId) -> bool {
         self.endpoints.contains_key(server) || self.drained.contains(server)
     }
@@ -62,8 +63,8 @@
         &self.drained
     }
 
-    /// How many steps of the length `step` are left for each drained server to be empty `drain_duration` after it was
-    /// drained, in the order of the servers' names.
+    /// The number of steps of length `step` left for each drained server to have no connections `drain_duration` after
+    /// it was drained, ordered by server id.
     pub fn progress(
         &self,
         now: Timestamp,
@@ -87,8 +88,9 @@
             .collect()
     }
 
-    /// Replaces the set of drained servers. Gives the entries that change by it, as the policy is to see them: newly drained
-    /// servers as draining, released ones as lately started. Servers that are not on the list have no entry.
+    /// Replaces the set of drained servers. Returns the entries that change, as the policy sees them: newly drained
+    /// servers as draining, released ones as recently started. Servers that the endpoint list does not contain have no
+    /// entry.
     pub fn set_drained_servers(
         &mut self,
         now: Timestamp,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The entry as the policy is to see it.
+    /// The entry as the policy sees it.
     fn with_drain(&self, mut entry: Endpoint) -> Endpoint {
         if entry.health == Health::Ready && self.drained.contains(&entry.server) {
             entry.health = Health::Draining;
--- a/crates/placement/src/admin_drain/tests.rs
+++ b/crates/placement/src/admin_drain/tests.rs
@@ -16,8 +16,8 @@
     names.iter().map(|name| ServerId::from(*name)).collect()
 }
 
-/// The parts of the entries that an administrator's drain may change.
-fn shown(entries: Vec<Endpoint>) -> Vec<(String, Health, Option<Timestamp>)> {
+/// The server of each entry and the fields that a drain by an administrator may change.
+fn drain_fields(entries: Vec<Endpoint>) -> Vec<(String, Health, Option<Timestamp>)> {
     entries
         .into_iter()
         .map(|entry| (entry.server.0.to_string(), entry.health, entry.started_at))
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_drained_server_is_shown_draining_whatever_the_list_says_until_it_is_released() {
+fn a_drained_server_is_draining_whatever_the_list_reports_until_it_is_released() {
     use Health::{Draining, Ready, Removed};
     let mut drain = AdminDrain::default();
     let s = || "s".to_string();
@@ -34,44 +34,44 @@
         true,
     );
     assert_eq!(
-        shown(drain.set_drained_servers(Timestamp(5), servers(&["s"]))),
+        drain_fields(drain.set_drained_servers(Timestamp(5), servers(&["s"]))),
         [(s(), Draining, None)]
     );
     assert_eq!(
-        shown(drain.set_drained_servers(Timestamp(6), servers(&["s"]))),
+        drain_fields(drain.set_drained_servers(Timestamp(6), servers(&["s"]))),
         [],
         "a repeated drain changes nothing"
     );
-    // It is restarted: removed, back, and told again by a complete list.
+    // The server restarts: it is removed, added again, and reported once more by a complete list.
     assert_eq!(
-        shown(drain.apply_endpoints(vec![endpoint("s", Removed, None)], false)),
+        drain_fields(drain.apply_endpoints(vec![endpoint("s", Removed, None)], false)),
         [(s(), Removed, None)]
     );
-    assert!(drain.knows(&"s".into()), "may be released meanwhile");
+    assert!(
+        drain.knows(&"s".into()),
+        "can be released while it is removed"
+    );
     for is_complete in [false, true] {
         let entries =
             drain.apply_endpoints(vec![endpoint("s", Ready, Some(Timestamp(8)))], is_complete);
-        assert_eq!(shown(entries), [(s(), Draining, Some(Timestamp(8)))]);
+        assert_eq!(drain_fields(entries), [(s(), Draining, Some(Timestamp(8)))]);
     }
-    assert!(
-        !drain.knows(&"t".into()),
-        "the complete list has it no more"
-    );
-    // It started at 8, so it is warm the sooner.
+    assert!(!drain.knows(&"t".into()), "not in the complete list");
+    // The reported start is later than the drain, so slow start counts from it.
     assert_eq!(
-        shown(drain.set_drained_servers(Timestamp(9), servers(&[]))),
+        drain_fields(drain.set_drained_servers(Timestamp(9), servers(&[]))),
         [(s(), Ready, Some(Timestamp(8)))]
     );
-    // That start says nothing of what was done while it was drained for the second time.
+    // The reported start is before the second drain, so the server may have restarted since: it counts as just started.
     drain.set_drained_servers(Timestamp(10), servers(&["s"]));
     assert_eq!(
-        shown(drain.set_drained_servers(Timestamp(12), servers(&[]))),
+        drain_fields(drain.set_drained_servers(Timestamp(12), servers(&[]))),
         [(s(), Ready, Some(Timestamp(12)))]
     );
 }
 
 #[test]
-fn the_steps_left_are_counted_from_the_time_of_the_drain() {
+fn remaining_steps_are_counted_from_the_time_of_the_drain() {
     let mut drain = AdminDrain::default();
     let ms = Duration::from_millis;
     drain.set_drained_servers(Timestamp(0), servers(&["s"]));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_released_server_keeps_a_later_start_and_a_drain_that_the_list_tells() {
+fn a_released_server_keeps_a_later_start_and_a_drain_reported_by_the_list() {
     let mut drain = AdminDrain::default();
     drain.set_drained_servers(Timestamp(1), servers(&["s", "t", "u"]));
     drain.apply_endpoints(
@@ -101,13 +101,13 @@
         ],
         true,
     );
-    let released = shown(drain.set_drained_servers(Timestamp(9), servers(&[])));
+    let released = drain_fields(drain.set_drained_servers(Timestamp(9), servers(&[])));
     assert_eq!(
         released,
         [
             ("s".into(), Health::Ready, Some(Timestamp(20))),
             ("t".into(), Health::Draining, Some(Timestamp(9)))
         ],
-        "a server that is not on the list has no entry"
+        "a server that the list does not contain has no entry"
     );
 }
--- a/crates/placement/src/limits/concurrency_limit.rs
+++ b/crates/placement/src/limits/concurrency_limit.rs
@@ -1,30 +1,31 @@
-//! How much of this node's load a server may hold, by the overload that it has shown.
+//! The limit on this node's load on a server, lowered when the server is overloaded and raised afterwards.
 
 use crate::state::elapsed::is_longer_ago;
 use crate::timer::UPKEEP_INTERVAL;
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Utilization to which servers may be filled, where they report it.
+/// Maximum utilization of servers that report theirs.
 pub(crate) const MAX_UTILIZATION: f64 = 0.85;
-/// For so long an overload, or a report of utilization, tells something of a server.
+/// Time for which an overload or a utilization report is taken into account.
 pub(crate) const OVERLOAD_MEMORY: Duration = Duration::from_secs(4);
-/// A limit falls to this part of the fair load at the least.
+/// Lower bound of a limit, as a fraction of the fair load.
 const MIN_LIMIT_RATIO: f64 = 0.1;
-/// A limit rises by this part of the fair load a second ...
+/// A limit rises by this fraction of the fair load per second ...
 const LIMIT_RISE_PER_SECOND: f64 = 0.01;
-/// ... times this while the last overload is remembered ...
-const CAUTIOUS_RISE_FACTOR: f64 = 0.5;
-/// ... or times this once it is not.
-const CALM_RISE_FACTOR: f64 = 2.0;
-/// A limit does not rise while an overload is this many upkeep intervals old, or younger.
+/// ... times this factor within [`OVERLOAD_MEMORY`] of the last overload ...
+const RECENT_OVERLOAD_RISE_FACTOR: f64 = 0.5;
+/// ... and times this factor after that.
+const DEFAULT_RISE_FACTOR: f64 = 2.0;
+/// A limit does not rise until the last overload is more than this many upkeep intervals old.
 const RISE_DELAY_INTERVALS: u32 = 2;
-/// The limit on one server.
+
+/// The concurrency limit of one server.
 pub(crate) struct ConcurrencyLimit {
-    /// The most load of this node's that the server may hold; infinite until it was overloaded once.
+    /// The maximum load from this node on the server; infinite until an overload sets a limit.
     pub(crate) max_load: f64,
     pub(crate) overloaded_at: Option<Timestamp>,
-    /// When the limit last gave way to one connection more.
+    /// The last time that the limit was raised to accept one more connection.
     pub(crate) raised_at: Option<Timestamp>,
 }
 
@@ -43,13 +44,13 @@
         self.max_load = f64::INFINITY;
     }
 
-    /// Lets the server hold what it holds.
+    /// Raises the limit to `load`, the server's present load, if it is lower.
     pub(crate) fn raise_to(&mut self, now: Timestamp, load: f64) {
         self.raised_at = Some(now);
         self.max_load = self.max_load.max(load);
     }
 
-    /// The server reported its utilization: that tells the limit, if there is one.
+    /// Sets the limit if the reported utilization exceeds [`MAX_UTILIZATION`], otherwise removes it.
     pub(crate) fn apply_report(&mut self, now: Timestamp, load: f64, utilization: f64) {
         if utilization > MAX_UTILIZATION {
             self.max_load = load * MAX_UTILIZATION / utilization;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The server is overloaded: it may hold only this part of what it holds.
+    /// Lowers the limit of an overloaded server to `retained_ratio` of its present load.
     pub(crate) fn apply_overload(
         &mut self,
         now: Timestamp,
@@ -72,16 +73,16 @@
         self.max_load = self.max_load.min(max_load);
     }
 
-    /// A second has passed.
+    /// Raises the limit; called once per second.
     pub(crate) fn recover(&mut self, now: Timestamp, fair_load: f64) {
         let rise_delay = UPKEEP_INTERVAL * RISE_DELAY_INTERVALS;
         if !is_longer_ago(now, self.overloaded_at, rise_delay) {
             return;
         }
         let factor = if is_longer_ago(now, self.overloaded_at, OVERLOAD_MEMORY) {
-            CALM_RISE_FACTOR
+            DEFAULT_RISE_FACTOR
         } else {
-            CAUTIOUS_RISE_FACTOR
+            RECENT_OVERLOAD_RISE_FACTOR
         };
         self.max_load += fair_load * LIMIT_RISE_PER_SECOND * factor;
     }
--- a/crates/placement/src/limits/concurrency_limit/tests.rs
+++ b/crates/placement/src/limits/concurrency_limit/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn an_overload_lowers_the_limit_but_not_below_a_part_of_the_fair_load() {
+fn an_overload_lowers_the_limit_but_not_below_a_fraction_of_the_fair_load() {
     let mut limit = ConcurrencyLimit::default();
     limit.apply_overload(at_seconds(1), 8.0, 0.75, FAIR_LOAD);
     assert!((limit.max_load - 6.0).abs() < 1e-9);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_report_sets_the_limit_of_a_full_server_and_removes_that_of_others() {
+fn a_report_sets_the_limit_of_an_overloaded_server_and_removes_that_of_others() {
     let mut limit = ConcurrencyLimit::default();
     limit.apply_report(at_seconds(1), 20.0, 1.0);
     assert!((limit.max_load - 17.0).abs() < 1e-9);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_limit_rises_faster_the_longer_the_overload_is_over() {
+fn a_limit_rises_faster_the_longer_ago_the_overload_was() {
     let mut limit = ConcurrencyLimit::default();
     limit.apply_overload(at_seconds(10), 8.0, 0.5, FAIR_LOAD);
     for (seconds, rise) in [(12, 0.0), (13, 0.05), (14, 0.05), (15, 0.2)] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_limit_that_gives_way_is_at_least_the_present_load() {
+fn a_raised_limit_is_at_least_the_present_load() {
     let mut limit = ConcurrencyLimit::default();
     limit.apply_overload(at_seconds(1), 8.0, 0.5, FAIR_LOAD);
     limit.raise_to(at_seconds(2), 9.0);
--- a/crates/placement/src/limits/health_check_budget.rs
+++ b/crates/placement/src/limits/health_check_budget.rs
@@ -1,26 +1,26 @@
 //! The budget for health checks.
 
-/// What may be spent on health checks for each request, in points of the result.
+/// Cost of health checks allowed per request, in the unit of [`Settings::health_check_cost`](crate::Settings).
 const BUDGET_PER_REQUEST: f64 = 0.0025;
 
-/// Health checks that may be sent.
+/// The number of health checks that may be sent.
 #[derive(Default)]
 pub(crate) struct HealthCheckBudget {
     checks: f64,
 }
 
 impl HealthCheckBudget {
-    /// A request has arrived; a check costs `check_cost`.
-    pub(crate) fn earn(&mut self, check_cost: f64) {
+    /// Adds the budget for one request that has arrived. A check costs `check_cost`.
+    pub(crate) fn credit_request(&mut self, check_cost: f64) {
         self.checks += BUDGET_PER_REQUEST / check_cost.max(1e-9);
     }
 
-    /// Bounds what is saved up.
+    /// Lowers the budget to `max_checks` if it exceeds that.
     pub(crate) fn limit_to(&mut self, max_checks: f64) {
         self.checks = self.checks.min(max_checks);
     }
 
-    /// Spends one check, if there is one.
+    /// Spends one check. Returns false if the budget does not allow it.
     pub(crate) fn spend(&mut self) -> bool {
         if self.checks < 1.0 {
             return false;
--- a/crates/placement/src/limits/health_checks.rs
+++ b/crates/placement/src/limits/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks, within the budget for them.
+//! Sends health checks within their budget and applies the results.
 
 use crate::balancer::{Actions, Balancer};
 use crate::recovery::outlier_detection::Failure;
@@ -8,12 +8,13 @@
 use crate::{Action, ServerId, Timestamp};
 use std::time::Duration;
 
-/// A report older than this is refreshed before the server is chosen, and a check is repeated after this.
+/// A report older than this is refreshed before its server is selected. Also the least time between two checks of a
+/// server.
 pub(crate) const REPORT_MAX_AGE: Duration = Duration::from_secs(1);
 
 impl Balancer {
-    /// Checks a server whose load report is old. Gives whether a check was sent. Guards against nodes that each check
-    /// every server all the time, and against choosing by what a server was long ago.
+    /// Sends a health check to a server whose load report is old, and returns true if one was sent. Guards against
+    /// selection by outdated reports without having each node check every server continuously.
     pub(crate) fn refresh_report(
         &mut self,
         now: Timestamp,
@@ -30,12 +31,13 @@
         self.reports_utilization() && is_old && self.send_health_check(now, slot, actions)
     }
 
-    /// Whether a health check tells of a server's load.
+    /// Returns true if health checks return load reports that contain the utilization.
     pub(crate) fn reports_utilization(&self) -> bool {
         self.settings.health_checks_allowed && self.settings.utilization_field.is_some()
     }
 
-    /// Checks a server that was not checked just now. Gives whether a check was sent.
+    /// Sends a health check unless one was sent within [`REPORT_MAX_AGE`] or the budget is used up. Returns true if
+    /// sent.
     pub(crate) fn send_health_check(
         &mut self,
         now: Timestamp,
@@ -60,7 +62,7 @@
         true
     }
 
-    /// A health check ended; `report` is the load report of one that passed.
+    /// Applies the result of a health check: the load report if it passed, `None` if it failed.
     pub(crate) fn on_health_check(
         &mut self,
         now: Timestamp,
@@ -87,7 +89,7 @@
         }
         for id in &self.queue {
             if let Some(request) = self.requests.get_mut(id) {
-                request.on_health_check_of(slot);
+                request.end_wait_for_health_check(slot);
             }
         }
     }
--- a/crates/placement/src/limits/load_reports.rs
+++ b/crates/placement/src/limits/load_reports.rs
@@ -1,11 +1,11 @@
-//! Reports of utilization. They count the load of all nodes, so they go before what this node's own load tells.
+//! Utilization reports. They cover the load of all nodes, so they take precedence over what this node's load suggests.
 
 use crate::balancer::{Actions, Balancer};
 use crate::state::server::{Server, UtilizationReport};
 use crate::state::server_table::ServerSlot;
 use crate::Timestamp;
 
-/// Utilization from which a server sheds load.
+/// Above this utilization, load is shed from the server.
 const SHEDDING_UTILIZATION: f64 = 0.93;
 
 impl Balancer {
@@ -20,7 +20,7 @@
         let Some(utilization) = field.and_then(|field| values.get(field)).copied() else {
             return;
         };
-        // With connections there that load it, no utilization tells of a time before they came.
+        // A report of no utilization from a server with connections dates from before those connections.
         let has_connections = |server: &Server| !server.connections.is_empty();
         if utilization <= 0.0 && self.fleet.servers.get(slot).is_some_and(has_connections) {
             return;
--- a/crates/placement/src/limits/machine_kinds.rs
+++ b/crates/placement/src/limits/machine_kinds.rs
@@ -1,12 +1,12 @@
-//! How often servers of each machine kind are overloaded.
+//! Estimates the overload rate of each machine kind.
 
 use crate::state::decay::{decayed, SLOW_DECAY_PER_SECOND};
 use std::collections::BTreeMap;
 
-/// So many seconds at the mean overload rate are taken to have been observed of each kind before.
+/// Weight of the prior: each kind starts with this many observed seconds at the mean overload rate.
 const PRIOR_SECONDS: f64 = 20.0;
 
-/// Seconds observed of servers that held connections.
+/// Seconds for which servers with connections were observed.
 #[derive(Clone, Copy, Default)]
 struct ObservedSeconds {
     total: f64,
@@ -19,14 +19,14 @@
     }
 }
 
-/// Observations by machine kind, which count less as they grow older.
+/// Observations by machine kind, decaying with age.
 #[derive(Default)]
 pub(crate) struct MachineKindOverload {
     kinds: BTreeMap<u32, ObservedSeconds>,
 }
 
 impl MachineKindOverload {
-    /// A second of one server that holds connections.
+    /// Records one second of a server that has connections.
     pub(crate) fn record(&mut self, kind: u32, is_overloaded: bool) {
         let observed = self.kinds.entry(kind).or_default();
         observed.total += 1.0;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A second has passed.
+    /// Decays the observations; called once per second.
     pub(crate) fn decay(&mut self) {
         for observed in self.kinds.values_mut() {
             observed.total = decayed(observed.total, SLOW_DECAY_PER_SECOND);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// By how much servers of this kind are overloaded in more of their seconds than those of the best kind.
+    /// The overload rate of this kind (the fraction of seconds overloaded) less that of the kind with the lowest rate.
     pub(crate) fn excess_overload_rate(&self, kind: u32) -> f64 {
         let mean_rate = self.mean_overload_rate();
         let rates = self
--- a/crates/placement/src/limits/machine_kinds/tests.rs
+++ b/crates/placement/src/limits/machine_kinds/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_kind_that_is_overloaded_least_has_no_excess() {
+fn the_kind_with_the_lowest_overload_rate_has_no_excess() {
     let mut kinds = MachineKindOverload::default();
     observe(&mut kinds, 1, 200, 0);
     observe(&mut kinds, 2, 200, 100);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_few_seconds_tell_little_of_a_kind() {
+fn a_few_overloaded_seconds_cause_little_excess() {
     let mut kinds = MachineKindOverload::default();
     observe(&mut kinds, 1, 200, 0);
     observe(&mut kinds, 2, 2, 2);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_kind_that_was_not_observed_has_no_excess() {
+fn a_kind_without_observations_has_no_excess() {
     let mut kinds = MachineKindOverload::default();
     observe(&mut kinds, 1, 20, 20);
     assert!(kinds.excess_overload_rate(7).abs() < 1e-9);
--- a/crates/placement/src/limits/message_delays.rs
+++ b/crates/placement/src/limits/message_delays.rs
@@ -1,4 +1,4 @@
-//! What the delay of messages on an established connection tells of its server.
+//! Detects overloaded and stalled servers by the delay of messages on established connections.
 
 use crate::balancer::{Actions, Balancer};
 use crate::limits::overload::ExcessLoad;
@@ -8,7 +8,7 @@
 use crate::{RequestId, Timestamp};
 use std::time::Duration;
 
-/// Above this ratio of delay to objective a server retains only part of what it holds.
+/// Above `min_ratio` of delay to objective, a server retains `retained_ratio` of its load.
 struct DelayTier {
     min_ratio: f64,
     retained_ratio: f64,
@@ -21,7 +21,7 @@
     }
 }
 
-/// The longest delays first.
+/// Ordered by falling delay: the first tier that matches applies.
 const DELAY_TIERS: [DelayTier; 5] = [
     delay_tier(5.0, 0.5),
     delay_tier(1.5, 0.75),
@@ -29,11 +29,11 @@
     delay_tier(0.5, 0.96),
     delay_tier(0.3, 1.0),
 ];
-/// Above this ratio what a server holds beyond its limit is shed.
+/// Above this ratio of delay to objective, load beyond the server's limit is shed.
 const SHEDDING_DELAY_RATIO: f64 = 0.5;
-/// Above this ratio other nodes are told.
+/// Above this ratio of delay to objective, other nodes receive a hint.
 const HINT_DELAY_RATIO: f64 = 1.5;
-/// No queue is that long: the server answers nothing, and its connections had best leave.
+/// Queueing alone does not delay messages this long: the server has stalled, and its clients should reconnect.
 const STALLED_AFTER: Duration = Duration::from_secs(4);
 
 impl Balancer {
@@ -52,7 +52,8 @@
         let delay_ratio = delay.as_secs_f64() / objective;
         let is_stalled = delay >= STALLED_AFTER;
         if delay_ratio > SHEDDING_DELAY_RATIO {
-            // A report that has grown old keeps the server from being relieved.
+            // Overloads are ignored while a report is younger than `OVERLOAD_MEMORY`, so an outdated report would keep
+            // load from being shed.
             self.refresh_report(now, slot, actions);
         }
         if delay_ratio > HINT_DELAY_RATIO {
--- a/crates/placement/src/limits/mod.rs
+++ b/crates/placement/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits on what servers are sent: concurrency limits, the setup window, slow start, and health checks.
+//! Limits on the load and the health checks that servers receive: concurrency limits, the setup window, slow start.
 
 pub(crate) mod concurrency_limit;
 pub(crate) mod health_check_budget;
--- a/crates/placement/src/limits/overload.rs
+++ b/crates/placement/src/limits/overload.rs
@@ -1,4 +1,4 @@
-//! What follows when a server is overloaded.
+//! Lowers the concurrency limit of overloaded servers.
 
 use crate::balancer::{Actions, Balancer};
 use crate::limits::concurrency_limit::OVERLOAD_MEMORY;
@@ -7,10 +7,10 @@
 use crate::timer::UPKEEP_INTERVAL;
 use crate::Timestamp;
 
-/// An overload is recorded no more often than once in this part of an upkeep interval.
+/// Least time between two recorded overloads of a server, as a fraction of the upkeep interval.
 const OVERLOAD_INTERVAL_RATIO: f64 = 0.9;
 
-/// Whether load beyond a limit is moved to other servers at once.
+/// Whether load beyond a limit stays or is immediately moved to other servers.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExcessLoad {
     Keep,
@@ -18,9 +18,10 @@
 }
 
 impl Balancer {
-    /// The server is overloaded: from now on it may hold only `retained_ratio` of what it holds. Guards against servers
-    /// that are slower or more loaded than their part of the keys assumes and, where all are, against a fleet that
-    /// answers everything late instead of most in time. A recent report of utilization tells more.
+    /// Limits an overloaded server to `retained_ratio` of its present load. Guards against servers that are slower or
+    /// more loaded than their share of the keys assumes and, if all are overloaded, against a fleet that answers every
+    /// request late instead of most of them in time. Does nothing if the server has a recent utilization report, which
+    /// is more accurate.
     pub(crate) fn record_overload(
         &mut self,
         now: Timestamp,
--- a/crates/placement/src/limits/setup_window.rs
+++ b/crates/placement/src/limits/setup_window.rs
@@ -1,8 +1,8 @@
-//! How many connection setups may be in progress at once.
+//! Limits the number of connection setups in progress.
 //!
-//! Guards against a bottleneck behind all servers, which more attempts only overload more. Quick setups widen the window,
-//! slow ones and failures at several servers shrink it. A window of less than one setup is one at a time with a pause
-//! after it.
+//! Guards against a bottleneck behind all servers, which further attempts would overload even more. Quick setups widen
+//! the window; slow setups, and failures at several servers, shrink it. A window below one allows one setup at a time,
+//! with a pause after each time that the window shrinks.
 
 use crate::hashing::random_fraction;
 use crate::timer::QUEUE_INTERVAL;
@@ -10,32 +10,33 @@
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// Setups in progress at the start, over all nodes.
+/// Initial window, summed over all nodes.
 const INITIAL_FLEET_WINDOW: f64 = 24.0;
-/// Setups in progress at the least, over all nodes ...
+/// Minimum window, summed over all nodes ...
 const MIN_FLEET_WINDOW: f64 = 6.0;
-/// ... and at each node.
+/// ... and of each node.
 const MIN_NODE_WINDOW: f64 = 0.05;
 const SHRINK_FACTOR: f64 = 0.7;
-/// The window does not shrink again within this time.
+/// Least time between two reductions of the window.
 const SHRINK_INTERVAL: Duration = QUEUE_INTERVAL.saturating_mul(2);
 const GROWTH_PER_SETUP: f64 = 0.5;
-/// The window grows only while more than this part of it is used, or it is less than one setup.
+/// The window grows only while more than this fraction of it is used or it is below one setup.
 const MIN_USED_RATIO: f64 = 0.5;
-/// A setup is slow if it takes this multiple of the usual quick one.
+/// A setup is slow if it takes more than this multiple of the quick setup duration.
 const SLOW_SETUP_RATIO: f64 = 3.0;
-/// Weight of one setup in the mean.
+/// Weight of one setup in the mean duration.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Weight of one setup that timed out in the mean.
+/// Weight of one failed setup in the mean duration.
 const TIMEOUT_WEIGHT: f64 = 0.2;
-/// The usual quick setup falls quickly to a quicker one and rises slowly.
+/// The quick setup duration is a moving estimate that falls quickly after a quicker setup and rises slowly after
+/// others.
 const QUICK_SETUP_FALL_WEIGHT: f64 = 0.3;
 const QUICK_SETUP_RISE_WEIGHT: f64 = 0.01;
 const INITIAL_QUICK_SETUP_SECONDS: f64 = 0.05;
 
 pub(crate) struct SetupWindow {
     node_count: u32,
-    /// Setups that may be in progress.
+    /// Number of setups that may be in progress.
     size: f64,
     in_progress: usize,
     shrunk_at: Timestamp,
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Changes the number of nodes. The present size stays.
+    /// Changes the number of nodes. The window keeps its size.
     pub(crate) fn set_node_count(&mut self, node_count: u32) {
         self.node_count = node_count;
     }
 
-    /// Whether another setup may begin.
+    /// Returns true if another setup may begin.
     pub(crate) fn is_open(&self, now: Timestamp) -> bool {
         let is_paused = self.size < 1.0 && now < self.paused_until;
         !is_paused && (self.in_progress as f64) < self.size
@@ -80,7 +81,7 @@
         self.mean_setup_seconds
     }
 
-    /// A request with less time left than this is too late for a setup.
+    /// The least time that a request must have left for a setup to begin.
     pub(crate) fn min_setup_duration(&self) -> Duration {
         let quick_setup = Duration::from_secs_f64(self.quick_setup_seconds);
         QUEUE_INTERVAL.max(quick_setup) * 2
@@ -90,7 +91,7 @@
         &mut self,
         now: Timestamp,
         setup_duration: Duration,
-        random: &mut Pcg32,
+        rng: &mut Pcg32,
     ) {
         self.end_setup();
         let seconds = setup_duration.as_secs_f64();
@@ -102,32 +103,32 @@
         };
         self.quick_setup_seconds += (seconds - self.quick_setup_seconds) * weight;
         if seconds > SLOW_SETUP_RATIO * self.quick_setup_seconds {
-            self.shrink(now, random);
+            self.shrink(now, rng);
         } else if self.size < 1.0 || (self.in_progress as f64) > self.size * MIN_USED_RATIO {
             self.size += GROWTH_PER_SETUP;
         }
     }
 
-    /// A setup failed for a cause behind all servers. The mean grows, for attempts given up just before they would have
-    /// been established overload that cause more.
+    /// Records a setup that failed by a cause common to all servers. The mean duration grows, because attempts that are
+    /// given up just before they would have succeeded add to the overload of the common bottleneck.
     pub(crate) fn record_shared_failure(
         &mut self,
         now: Timestamp,
         setup_duration: Duration,
-        random: &mut Pcg32,
+        rng: &mut Pcg32,
     ) {
         let excess = setup_duration.as_secs_f64() - self.mean_setup_seconds;
         self.mean_setup_seconds += TIMEOUT_WEIGHT * excess.max(0.0);
-        self.shrink(now, random);
+        self.shrink(now, rng);
     }
 
-    /// The failures had a cause that says nothing of setups elsewhere.
+    /// Ends the pause and restores at least the initial size, because the failures do not concern setups elsewhere.
     pub(crate) fn reopen(&mut self, now: Timestamp) {
         self.paused_until = now;
         self.size = self.size.max(initial_size(self.node_count));
     }
 
-    fn shrink(&mut self, now: Timestamp, random: &mut Pcg32) {
+    fn shrink(&mut self, now: Timestamp, rng: &mut Pcg32) {
         if now.saturating_duration_since(self.shrunk_at) <= SHRINK_INTERVAL {
             return;
         }
@@ -137,12 +138,12 @@
         self.shrunk_at = now;
         let mean_seconds = self.mean_setup_seconds.max(QUEUE_INTERVAL.as_secs_f64());
         let mean_pause = mean_seconds * (1.0 / self.size - 1.0).max(0.0);
-        let pause = mean_pause * (0.5 + random_fraction(random));
+        let pause = mean_pause * (0.5 + random_fraction(rng));
         self.paused_until = now.saturating_add(Duration::from_secs_f64(pause));
     }
 }
 
-/// Setups that one node may have in progress where nothing tells of fewer.
+/// The window of one node before any measurement.
 fn initial_size(node_count: u32) -> f64 {
     (INITIAL_FLEET_WINDOW / f64::from(node_count.max(1))).max(1.0)
 }
--- a/crates/placement/src/limits/setup_window/tests.rs
+++ b/crates/placement/src/limits/setup_window/tests.rs
@@ -8,7 +8,7 @@
     Timestamp(millis * 1_000_000)
 }
 
-fn random() -> Pcg32 {
+fn rng() -> Pcg32 {
     Pcg32::seed_from_u64(1)
 }
 
@@ -34,13 +34,13 @@
 fn quick_setups_widen_the_window_only_while_it_is_used() {
     let mut window = SetupWindow::new(8);
     window.begin_setup();
-    window.record_success(at_millis(1_000), QUICK, &mut random());
+    window.record_success(at_millis(1_000), QUICK, &mut rng());
     assert_eq!(setups_until_closed(&mut window, at_millis(1_000)), 3);
     for _ in 0..2 {
-        window.record_success(at_millis(1_000), QUICK, &mut random());
+        window.record_success(at_millis(1_000), QUICK, &mut rng());
         window.begin_setup();
     }
-    assert!(window.is_open(at_millis(1_000)), "one more than before");
+    assert!(window.is_open(at_millis(1_000)), "wider than before");
 }
 
 #[test]
@@ -49,8 +49,8 @@
     for _ in 0..24 {
         window.begin_setup();
     }
-    window.record_success(at_millis(1_000), SLOW, &mut random());
-    window.record_success(at_millis(1_050), SLOW, &mut random());
+    window.record_success(at_millis(1_000), SLOW, &mut rng());
+    window.record_success(at_millis(1_050), SLOW, &mut rng());
     while window.in_progress > 0 {
         window.end_setup();
     }
@@ -64,7 +64,7 @@
     let mut now = 0;
     for _ in 0..20 {
         now += 200;
-        window.record_shared_failure(at_millis(now), SLOW, &mut random());
+        window.record_shared_failure(at_millis(now), SLOW, &mut rng());
     }
     assert!(!window.is_open(at_millis(now)), "paused");
     window.reopen(at_millis(now));
--- a/crates/placement/src/limits/slow_start.rs
+++ b/crates/placement/src/limits/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: servers that started lately are sent no more than would fill them over their warm-up.
+//! Slow start: limits the rate of attempts on recently started servers to one that fills them over their warm-up.
 
 use crate::balancer::Balancer;
 use crate::limits::concurrency_limit::OVERLOAD_MEMORY;
@@ -6,42 +6,42 @@
 use crate::state::server::Server;
 use crate::{ServerId, Settings, Timestamp};
 
-/// Part of the rate that overloads a warming server at which it may be sent attempts.
+/// Maximum rate of attempts on a server in slow start, as a fraction of the rate that overloads it.
 const SAFE_RATE_RATIO: f64 = 2.0 / 3.0;
-/// Bound of that rate, relative to the one that fills a server over its warm-up.
+/// Upper bound of that rate, relative to the rate that fills a server over its warm-up.
 const MAX_RATE_RATIO: f64 = 2.0;
-/// A warm server is taken to hold one such part of what it could: services are run at half of it or so.
+/// Assumed capacity of a warm server, as a multiple of its connections: services run at about half of their capacity.
 const SPARE_CAPACITY_RATIO: f64 = 1.75;
-/// Connections that a warm server is taken to hold in any case, of all nodes together: a node that has just started
-/// holds none.
+/// Minimum number of connections, from all nodes together, that a warm server is assumed to have: a node that has just
+/// started has none.
 pub(crate) const MIN_FLEET_CONNECTIONS: f64 = 15.0;
-/// The budget refills with this multiple of what is due. It only bounds what the estimate of the demand, which keeps to
-/// the budget over all nodes, may get wrong at one of them.
+/// The budget is refilled with this multiple of the attempts due. Key ratios, which follow from the estimated demand,
+/// keep all nodes together within the attempts due; the budget only bounds the error of the estimate at a single node.
 const DEMAND_ERROR_FACTOR: f64 = 3.0;
 
-/// What holds for a server in slow start, for the log.
+/// The slow-start limits of one server, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartStatus {
-    /// The part of the keys that it takes, 0 to 1.
+    /// The fraction of the keys that the server accepts, 0 to 1.
     pub key_ratio: f64,
-    /// Attempts that this node may start there.
+    /// Attempts that this node may start on the server.
     pub tokens: f64,
     /// Attempts that this node may start on all servers in slow start together.
     pub budget: f64,
 }
 
-/// What one upkeep gives to servers in slow start.
+/// The refill of all slow-start budgets in one upkeep.
 pub(crate) struct SlowStartRefill {
     warm_servers: f64,
     warming_servers: f64,
-    /// Requests a second at this node.
+    /// Requests per second at this node.
     demand: f64,
     warm_up_seconds: f64,
     overload_window_seconds: f64,
-    /// Connections a second that fill a server with full capacity as far as warm ones are filled.
+    /// Connections per second that fill a server of full capacity to the level of warm servers over its warm-up.
     fill_rate: f64,
     max_rate_ratio: f64,
-    /// Attempts that are due to all servers.
+    /// Attempts added to the budget of all servers together.
     total: f64,
 }
 
@@ -56,8 +56,8 @@
         elapsed.as_secs_f64() * self.max_rate_ratio * rate
     }
 
-    /// The part of the keys by which a server gets this many requests a second. What servers in slow start leave goes to
-    /// the warm ones.
+    /// The fraction of the keys that brings a server `rate` requests per second, if the warm servers accept all
+    /// requests that servers in slow start do not.
     fn key_ratio(&self, rate: f64) -> f64 {
         let remaining_demand = self.demand - rate * self.warming_servers;
         if remaining_demand > 0.0 {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Refills the budget of one server. What other nodes send there is not known: this one keeps to one attempt in an
-    /// overload window, or to its part.
+    /// Refills the budget of one server. The attempts of other nodes are unknown, so this node starts no more than its
+    /// share of the attempts due, or one per overload window if that is more.
     pub(crate) fn refill(&mut self, settings: &Settings, now: Timestamp, server: &mut Server) {
         let attempts_due = self.attempts_due(settings, now, server);
         let factor = if self.warm_servers >= 1.0 {
@@ -98,7 +98,7 @@
 }
 
 impl Balancer {
-    /// Starts a refill with the totals as they are before the servers are looked at.
+    /// Starts a refill with the totals as they are before any server is updated.
     pub(crate) fn begin_slow_start_refill(&mut self, now: Timestamp) -> SlowStartRefill {
         self.request_rate.decay();
         let settings = &self.settings;
@@ -126,13 +126,13 @@
             .refill(refill.total, refill.max_budget());
     }
 
-    /// Ranks servers in slow start as long as the budget for all of them allows an attempt.
+    /// Includes servers in slow start in the ranking if their common budget allows an attempt, else excludes them.
     pub(crate) fn refresh_slow_start(&mut self, now: Timestamp) {
         let is_open = self.slow_start_budget.allows_attempt(now);
         self.fleet.set_admits_slow_start(is_open);
     }
 
-    /// What holds for this server now, if it is in slow start.
+    /// The present slow-start limits of the server, or `None` if it is not in slow start.
     pub fn slow_start_status(&self, server: &ServerId) -> Option<SlowStartStatus> {
         let slot = self.fleet.servers.slot(server);
         let slow_start = &self.fleet.servers.get(slot)?.slow_start;
--- a/crates/placement/src/limits/slow_start_budget.rs
+++ b/crates/placement/src/limits/slow_start_budget.rs
@@ -1,39 +1,39 @@
-//! The budget of attempts on servers in slow start that one node has: its estimate of what they bear and, where the nodes
-//! divide a budget among themselves, the lease that it holds on that.
+//! One node's budget of attempts on servers in slow start: an estimate of their capacity and, if the nodes share a
+//! fleet-wide budget, the node's lease on a share of it.
 
 use crate::{SlowStartLease, Timestamp};
 use std::collections::VecDeque;
 
-/// Attempts that all nodes together may have saved up for a server in slow start.
+/// Unused attempts that all nodes together may accumulate for a server in slow start.
 pub(crate) const SAVED_ATTEMPTS: f64 = 3.0;
-/// The most attempts that are remembered of one window: a lease on more is cut down to this.
+/// Maximum number of attempts remembered for one window. The limit of a lease is capped to it.
 const MAX_REMEMBERED_ATTEMPTS: u32 = 1 << 16;
 
-/// What a node has used of the budget that the fleet divides.
+/// A node's usage of the fleet-wide budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartUsage {
     /// The most attempts in any window.
     pub max_attempts_in_window: u32,
-    /// Whether a request came when the lease alone stood against one more attempt.
+    /// Whether a request arrived while the lease was the only reason to refuse an attempt.
     pub was_exhausted: bool,
 }
 
-/// This node's part of the fleet's slow-start budget: an estimate that is refilled, or a lease while one is held.
+/// This node's share of the fleet's slow-start budget: a refilled estimate, further bounded by a lease if there is one.
 #[derive(Default)]
 pub(crate) struct SlowStartBudget {
     attempts: f64,
-    /// Above this the budget allows an attempt. It is redrawn at random after each, so that the fractions of an attempt that
-    /// many nodes have add up to the right number.
+    /// The budget allows an attempt while `attempts` is above this. Redrawn at random after each attempt, so that
+    /// fractions of an attempt at many nodes add up to the right total.
     threshold: f64,
     lease: Option<SlowStartLease>,
-    /// The attempts of the last window, where there is a lease.
+    /// The attempts of the last window, if there is a lease.
     recent_attempts: VecDeque<Timestamp>,
-    /// The lease is used up, and is the only reason to refuse an attempt.
+    /// Whether the lease is used up and the only reason to refuse an attempt.
     is_exhausted: bool,
     usage: MaxUsage,
 }
 
-/// Usage since it was last asked for.
+/// Usage since the last call of [`SlowStartBudget::take_usage`].
 #[derive(Default)]
 struct MaxUsage {
     max_attempts_in_window: usize,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// How many unused attempts on one server this node may keep: the sum over all nodes is the same however many there
-    /// are. Guards against hundreds of them that spend one saved attempt each at the same moment.
+    /// Unused attempts on one server that this node may accumulate. The sum over all nodes does not depend on their
+    /// number: otherwise hundreds of nodes could each spend a saved attempt at the same moment.
     pub(crate) fn saved_per_node(&self, now: Timestamp, node_count: u32) -> f64 {
         match &self.lease {
             Some(lease) if is_valid(lease, now) => SAVED_ATTEMPTS * lease.fleet_share,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// From now on this lease holds, or none: then the number of nodes decides alone.
+    /// Replaces the lease. Without one, the node's share follows from the number of nodes alone.
     pub(crate) fn set_lease(&mut self, lease: Option<SlowStartLease>) {
         if lease.is_none() {
             self.recent_attempts.clear();
@@ -75,7 +75,7 @@
         self.attempts += attempts;
     }
 
-    /// Adds attempts, but never up to more than `max_attempts` in all.
+    /// Adds attempts, up to a total of `max_attempts`.
     pub(crate) fn refill(&mut self, attempts: f64, max_attempts: f64) {
         self.attempts = (self.attempts + attempts).min(max_attempts);
     }
@@ -93,35 +93,37 @@
         }
     }
 
-    /// A request looks for a server.
+    /// Records that requests look for a server, which the next usage reports if the lease is exhausted.
     pub(crate) fn record_demand(&mut self) {
         self.usage.was_exhausted |= self.is_exhausted;
     }
 
     /// Usage since the last call.
     pub(crate) fn take_usage(&mut self) -> SlowStartUsage {
-        let present_attempts = self.recent_attempts.len();
+        let recent_count = self.recent_attempts.len();
         let next_usage = MaxUsage {
-            max_attempts_in_window: present_attempts,
+            max_attempts_in_window: recent_count,
             was_exhausted: false,
         };
         let usage = std::mem::replace(&mut self.usage, next_usage);
-        let max_attempts = usage.max_attempts_in_window.max(present_attempts);
+        let max_attempts = usage.max_attempts_in_window.max(recent_count);
         SlowStartUsage {
             max_attempts_in_window: u32::try_from(max_attempts).unwrap_or(u32::MAX),
             was_exhausted: usage.was_exhausted,
         }
     }
 
-    /// Whether the budget allows an attempt on a server in slow start now. An expired lease is none: its expiry is checked here,
-    /// before anything is sent, so that a process that was frozen finds out in time.
+    /// Returns true if the budget allows an attempt on a server in slow start. Of an expired lease only the floor
+    /// remains: the expiry is checked here, before each attempt, so that a process that was frozen cannot use an
+    /// expired lease.
     pub(crate) fn allows_attempt(&mut self, now: Timestamp) -> bool {
         let has_budget = self.attempts > self.threshold;
         let Some(lease) = &self.lease else {
             return has_budget;
         };
-        let is_past = |sent_at: &Timestamp| now.saturating_duration_since(*sent_at) >= lease.window;
-        while self.recent_attempts.front().is_some_and(is_past) {
+        let is_outside_window =
+            |sent_at: &Timestamp| now.saturating_duration_since(*sent_at) >= lease.window;
+        while self.recent_attempts.front().is_some_and(is_outside_window) {
             self.recent_attempts.pop_front();
         }
         let max_attempts = if is_valid(lease, now) {
@@ -134,7 +136,7 @@
         has_budget && !self.is_exhausted
     }
 
-    /// Whether there is a lease, and with it a moment between two upkeeps at which more may be sent.
+    /// Returns true if there is a lease. With one, attempts may become available between two upkeeps.
     pub(crate) fn has_lease(&self) -> bool {
         self.lease.is_some()
     }
--- a/crates/placement/src/limits/slow_start_budget/tests.rs
+++ b/crates/placement/src/limits/slow_start_budget/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn without_a_lease_attempts_above_the_threshold_decide() {
+fn without_a_lease_an_attempt_is_allowed_above_the_threshold() {
     let mut budget = SlowStartBudget::new(0.5);
     assert!(!budget.allows_attempt(at_seconds(1)));
     budget.add(1.2);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_expired_lease_leaves_its_floor() {
+fn only_the_floor_of_an_expired_lease_remains() {
     let mut budget = full_budget();
     budget.set_lease(Some(lease(5, 1, 20)));
     assert!(budget.allows_attempt(at_seconds(20)));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn usage_tells_the_busiest_window_and_whether_the_lease_was_exhausted() {
+fn usage_reports_the_busiest_window_and_an_exhausted_lease() {
     let mut budget = full_budget();
     budget.set_lease(Some(lease(2, 0, 60)));
     for _ in 0..2 {
--- a/crates/placement/src/limits/slow_start_wave.rs
+++ b/crates/placement/src/limits/slow_start_wave.rs
@@ -1,84 +1,89 @@
-//! Waves in slow start: the part of the requests of a wave that goes to servers in slow start.
+//! Decides which fraction of a reconnect wave goes to servers in slow start.
 //!
-//! When connections break or servers leave, their clients return to all nodes within an overload window. No node sees the
-//! whole wave. What it can tell of the wave's size is the larger of two figures: the connections of the servers that have just
-//! left the endpoint list, which all nodes are told, and its own sample, the connections that broke here. A node that has
-//! neither takes the wave for one request at each node. As the samples of all nodes add up to the wave, the parts that they send
-//! add up to what servers in slow start bear.
+//! When connections break, or servers drain or are removed, their clients reconnect to all nodes within an overload
+//! window: a reconnect wave. No node sees the whole wave. Each estimates its size as the larger of two figures: the
+//! connections of servers that have just stopped being ready according to the endpoint list, which all nodes receive,
+//! and the connections that broke at this node, a sample of the wave. If both are zero, the node assumes one request
+//! per node. The samples of all nodes add up to the wave, so the requests that all nodes send to servers in slow start
+//! add up to the capacity of those servers.
 
 use crate::balancer::Balancer;
 use crate::hashing::unit_interval;
 use crate::limits::slow_start::MIN_FLEET_CONNECTIONS;
-use crate::state::departures::RETURN_WINDOWS;
+use crate::state::departures::RECONNECT_WINDOWS;
 use crate::state::request::RequestState;
 use crate::state::server::Server;
 use crate::state::server_table::ServerSlot;
 use crate::{Health, Settings, Timestamp};
 use std::time::Duration;
 
-/// Part of what overloads a server in slow start that its key ratio allows, whatever the endpoint list tells.
+/// Upper bound of a server's key ratio in a wave, as a fraction of the key ratio that would overload the server.
 const WAVE_RATE_RATIO: f64 = 0.5;
-/// A warm server can hold this multiple of the connections that it has.
+/// A warm server has capacity for this multiple of its connections.
 const WARM_CAPACITY_RATIO: f64 = 2.0;
-/// The bits of a connection's key that decide whether it goes to a server in slow start.
+/// Rotation of a connection's key. It selects the bits that decide whether the connection may go to a server in slow
+/// start.
 const WAVE_KEY_ROTATION: u32 = 20;
 
-/// Whether a request may go to a server in slow start.
+/// The rule by which a request may go to a server in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SlowStartAdmission {
-    /// Each such server takes its part of the request keys.
+    /// Each server in slow start accepts its fraction of the request keys.
     ByRequestKey,
-    /// Each such server takes its part of the connection keys: a large group would come to one of them as a whole.
+    /// Each server in slow start accepts its fraction of the connection keys. By request key, which connections of a
+    /// group share, a large group would go to one of them as a whole.
     ByConnectionKey,
-    /// Such a server comes first. Each takes its part of the request keys in relation to `max_key_ratio`, the largest part, and
-    /// a group is spread over those that take its key.
+    /// Servers in slow start are preferred. Each accepts a fraction of the request keys, its key ratio relative to
+    /// `max_key_ratio`, the largest one. A group is spread over those that accept its key.
     Preferred { max_key_ratio: f64 },
     /// Warm servers only.
     Refused,
 }
 
-/// A wave as far as this node can tell its size.
+/// This node's estimate of a wave.
 struct ExpectedWave {
-    /// Requests that come to each node in the mean.
+    /// Mean number of requests per node.
     requests_per_node: f64,
-    /// Connections of this node broke: the wave is there, whatever the endpoint list tells.
+    /// Whether connections of this node broke, which shows that there is a wave whatever the endpoint list reports.
     is_observed: bool,
 }
 
-/// What servers in slow start can take of a wave, all together.
+/// The total capacity of servers in slow start for the requests of a wave.
 #[derive(Default)]
 struct WaveCapacity {
-    key_ratios: f64,
+    key_ratio_sum: f64,
     max_key_ratio: f64,
-    /// Requests that they bear within an overload window, in multiples of the connections for a unit of weight.
-    connections: f64,
+    /// Requests that they can accept within an overload window, as a multiple of the connections per unit of weight
+    /// of warm servers.
+    relative_requests: f64,
 }
 
 impl WaveCapacity {
     fn add(&mut self, settings: &Settings, now: Timestamp, server: &Server) {
         let key_ratio = wave_key_ratio(settings, now, server);
-        self.key_ratios += key_ratio;
+        self.key_ratio_sum += key_ratio;
         self.max_key_ratio = self.max_key_ratio.max(key_ratio);
-        self.connections += server.weight * connections_borne(settings, now, server);
+        self.relative_requests += server.weight * relative_request_capacity(settings, now, server);
     }
 
-    /// The part of a wave that comes to these servers by their key ratios while the warm ones take what is left.
-    fn part_by_key_ratio(&self, warm_servers: f64) -> f64 {
-        self.key_ratios / (warm_servers + self.key_ratios).max(1e-9)
+    /// The fraction of a wave that goes to these servers by their key ratios, if the warm servers accept the rest.
+    fn key_ratio_fraction(&self, warm_servers: f64) -> f64 {
+        self.key_ratio_sum / (warm_servers + self.key_ratio_sum).max(1e-9)
     }
 }
 
-/// The part of the keys of a wave that a server in slow start takes whatever the endpoint list tells: it is no more than a
-/// warm one takes, and in proportion to its present capacity.
+/// The fraction of a wave's keys that a server in slow start accepts, whatever the endpoint list reports: no more than
+/// a warm server accepts, and in proportion to its present capacity.
 pub(crate) fn wave_key_ratio(settings: &Settings, now: Timestamp, server: &Server) -> f64 {
     let capacity_ratio = server.capacity_ratio(settings, now);
     let max_key_ratio = WAVE_RATE_RATIO * settings.overload_factor * capacity_ratio;
     server.slow_start.key_ratio.min(max_key_ratio)
 }
 
-/// How many requests a server in slow start bears within an overload window, in multiples of the connections of a warm
-/// server: the rate that fills it over its warm-up, by the overload factor and its present capacity.
-fn connections_borne(settings: &Settings, now: Timestamp, server: &Server) -> f64 {
+/// Requests that a server in slow start can accept within an overload window, as a multiple of a warm server's
+/// connections: the number that fills the server over its warm-up, scaled by the overload factor and its present
+/// capacity.
+fn relative_request_capacity(settings: &Settings, now: Timestamp, server: &Server) -> f64 {
     let window_ratio = settings.overload_window.as_secs_f64()
         / settings.slow_start_duration.as_secs_f64().max(1e-9);
     let capacity_ratio = server.capacity_ratio(settings, now);
@@ -86,15 +91,15 @@
 }
 
 impl Balancer {
-    /// Whether the request may go to a server in slow start. Where more clients return than those servers bear, this is drawn
-    /// once for all of them by the connection's own key: drawn for each, a client whom all warm servers refuse would come to
-    /// one in slow start in the end.
+    /// The rule by which the request may go to a server in slow start. If more clients reconnect than those servers
+    /// have capacity for, the connection's own key decides once for all of these servers: if it decided for each of
+    /// them separately, a client that all warm servers refuse would eventually reach one in slow start.
     pub(crate) fn slow_start_admission(
         &self,
         now: Timestamp,
         request: &RequestState,
     ) -> SlowStartAdmission {
-        if !request.may_come_in_wave() {
+        if !request.may_be_in_wave() {
             return SlowStartAdmission::ByRequestKey;
         }
         let totals = &self.fleet.totals;
@@ -104,16 +109,16 @@
         }
         let capacity = self.wave_capacity(now);
         let wave = self.expected_wave(now);
-        let requests_borne = capacity.connections * self.connections_per_weight(now);
-        let part_borne = requests_borne / wave.requests_per_node;
-        let part_by_key_ratio = capacity.part_by_key_ratio(totals.available_warm);
-        if part_borne >= part_by_key_ratio && !wave.is_observed {
+        let request_capacity = capacity.relative_requests * self.connections_per_weight(now);
+        let capacity_fraction = request_capacity / wave.requests_per_node;
+        let key_ratio_fraction = capacity.key_ratio_fraction(totals.available_warm);
+        if capacity_fraction >= key_ratio_fraction && !wave.is_observed {
             return SlowStartAdmission::ByConnectionKey;
         }
         let position = unit_interval(request.connection_key.rotate_left(WAVE_KEY_ROTATION));
-        if position >= part_borne {
+        if position >= capacity_fraction {
             SlowStartAdmission::Refused
-        } else if part_borne >= part_by_key_ratio {
+        } else if capacity_fraction >= key_ratio_fraction {
             SlowStartAdmission::ByConnectionKey
         } else {
             SlowStartAdmission::Preferred {
@@ -123,15 +128,15 @@
     }
 
     fn expected_wave(&self, now: Timestamp) -> ExpectedWave {
-        let broken = self.recently_broken(now);
+        let broken = self.recently_broken_connections(now);
         let window = self.settings.overload_window;
         let departed_weight = self.fleet.departures.max_weight_within(now, window);
-        let listed = departed_weight * self.connections_per_weight(now);
-        let known = broken.max(listed);
-        let requests_per_node = if known > 0.0 {
-            known
+        let departed = departed_weight * self.connections_per_weight(now);
+        let expected = broken.max(departed);
+        let requests_per_node = if expected > 0.0 {
+            expected
         } else {
-            // The request at hand stands for one at each node.
+            // Assume that each node receives one request, as this node did.
             1.0
         };
         ExpectedWave {
@@ -140,17 +145,17 @@
         }
     }
 
-    /// This node's connections for a unit of weight of warm servers, with those that broke just now.
+    /// This node's connections per unit of weight of warm servers, including recently broken ones.
     fn connections_per_weight(&self, now: Timestamp) -> f64 {
         let totals = &self.fleet.totals;
-        let broken = self.recently_broken(now);
+        let broken = self.recently_broken_connections(now);
         let node_count = f64::from(self.settings.node_count.max(1));
         let min_connections = MIN_FLEET_CONNECTIONS * totals.warm / node_count;
         let connections = (totals.warm_connections + broken).max(min_connections);
         connections / totals.warm_weight.max(1e-9)
     }
 
-    /// The largest part of the keys of a wave that any server in slow start takes.
+    /// The largest fraction of a wave's keys that any server in slow start accepts.
     pub(crate) fn max_wave_key_ratio(&self, now: Timestamp) -> f64 {
         self.wave_capacity(now).max_key_ratio
     }
@@ -163,23 +168,23 @@
         capacity
     }
 
-    /// Connections of this node that broke, and whose clients may still return.
-    fn recently_broken(&self, now: Timestamp) -> f64 {
-        let max_age = self.wave_memory();
+    /// Broken connections of this node whose clients may still reconnect.
+    fn recently_broken_connections(&self, now: Timestamp) -> f64 {
+        let max_age = self.reconnect_period();
         f64::from(self.broken_connections.count_within(now, max_age))
     }
 
-    /// For how long what was seen of a wave tells its size: clients return within this time.
-    fn wave_memory(&self) -> Duration {
-        RETURN_WINDOWS * self.settings.overload_window
+    /// The time within which clients reconnect, and for which a broken connection counts toward the size of a wave.
+    fn reconnect_period(&self) -> Duration {
+        RECONNECT_WINDOWS * self.settings.overload_window
     }
 
-    /// An established connection on this server ended though its client wants it. Of servers that drain or were removed
-    /// the endpoint list tells.
+    /// Records an established connection to this server that broke while its client still needed it. Connections of
+    /// draining and removed servers are left out, because the endpoint list reports those servers.
     pub(crate) fn observe_broken_connection(&mut self, now: Timestamp, slot: ServerSlot) {
         let server = self.fleet.servers.get(slot);
         if server.is_some_and(|server| server.health == Health::Ready) {
-            let max_age = self.wave_memory();
+            let max_age = self.reconnect_period();
             self.broken_connections.record(now, max_age);
         }
     }
--- a/crates/placement/src/policy/intake.rs
+++ b/crates/placement/src/policy/intake.rs
@@ -50,7 +50,7 @@
             self.group_frequency.record(group);
         }
         self.health_check_budget
-            .earn(self.settings.health_check_cost);
+            .credit_request(self.settings.health_check_cost);
         let split_position = if info.is_reconnect {
             self.jitter()
         } else {
--- a/crates/placement/src/poll_schedule/tests.rs
+++ b/crates/placement/src/poll_schedule/tests.rs
@@ -7,58 +7,59 @@
     f64::from((node * 31 + call * 17) % node_count) / f64::from(node_count)
 }
 
-/// The largest number of times within `window` of each other.
-fn most_within(times: &[f64], window: f64) -> usize {
+/// The maximum number of times in any span of length `window`.
+fn max_within(times: &[f64], window: f64) -> usize {
     let count_from = |from: &f64| {
         times
             .iter()
-            .filter(|at| (*from..*from + window).contains(at))
+            .filter(|time| (*from..*from + window).contains(time))
             .count()
     };
     times.iter().map(count_from).max().unwrap_or(0)
 }
 
-/// Calls of a fleet over 40 s where each call fails two seconds after it was made: the most calls in any two seconds, and the
-/// longest delay.
-fn most_calls(node_count: u32) -> (usize, f64) {
+/// Simulates a fleet for 40 s with each call failing after two seconds. Returns the maximum number of calls in any two
+/// seconds and the longest delay.
+fn max_calls_and_delay(node_count: u32) -> (usize, f64) {
     let mut calls = Vec::new();
     let mut longest_delay = 0.0f64;
     for node in 0..node_count {
         let mut schedule = PollSchedule::new(node_count);
-        let mut at = schedule
+        let mut time = schedule
             .initial_delay(node_random(node_count, node, 0))
             .as_secs_f64();
         for call in 1.. {
-            calls.push(at);
+            calls.push(time);
             let delay = schedule
                 .retry_delay(node_random(node_count, node, call))
                 .as_secs_f64();
             longest_delay = longest_delay.max(delay);
-            at += 2.0 + delay;
-            if at > 40.0 {
+            time += 2.0 + delay;
+            if time > 40.0 {
                 break;
             }
         }
     }
-    (most_within(&calls, 2.0), longest_delay)
+    (max_within(&calls, 2.0), longest_delay)
 }
 
-/// herd+vast: 61 calls that failed together came again within half a second, and so on for ten seconds.
+/// Guards against retries that stay in step: 61 calls that failed together were retried within half a second of each
+/// other, and again so for ten seconds.
 #[test]
 fn calls_to_a_failing_discovery_spread_out_and_never_stop() {
     for node_count in [3, 30, 100, 300, 400, 2100] {
-        let (most, longest) = most_calls(node_count);
-        let all_at_once = f64::from(node_count) / MAX_SPREAD_SECONDS * 4.0;
+        let (max_calls, longest_delay) = max_calls_and_delay(node_count);
+        let spread_calls = f64::from(node_count) / MAX_SPREAD_SECONDS * 4.0;
         let allowed = (MAX_FLEET_CALLS_PER_SECOND * 2.0 * 1.25)
-            .max(all_at_once)
+            .max(spread_calls)
             .min(f64::from(node_count) * 2.0);
         assert!(
-            most as f64 <= allowed,
-            "{node_count} nodes: {most} calls in two seconds, {allowed} allowed"
+            max_calls as f64 <= allowed,
+            "{node_count} nodes: {max_calls} calls in two seconds, {allowed} allowed"
         );
         assert!(
-            longest <= MAX_SPREAD_SECONDS,
-            "{node_count} nodes: one waits for {longest} s"
+            longest_delay <= MAX_SPREAD_SECONDS,
+            "{node_count} nodes: longest delay {longest_delay} s"
         );
     }
 }
@@ -74,7 +75,7 @@
         [0.0, 0.5].map(|random| large.stalled_watch_delay(random)),
         [0, 500].map(Duration::from_millis)
     );
-    // A call that fails after that waits like any first one.
+    // The retry after the next failed call is delayed like any first retry.
     assert_eq!(
         large.retry_delay(0.5),
         PollSchedule::new(300).retry_delay(0.5)
@@ -92,7 +93,7 @@
     assert_eq!(schedule.retry_delay(0.5), Duration::from_millis(500));
 }
 
-/// Changes count as known 6 s after discovery could be reached: it may have been back since the last call failed.
+/// Changes must be received within 6 s after discovery is reachable, which may be right after the last failed call.
 #[test]
 fn after_a_failed_call_the_next_one_leaves_time_for_its_answer() {
     for node_count in [1, 3, 30, 100, 300, 2100] {
@@ -124,8 +125,9 @@
     );
 }
 
-/// However long ago the last contact was when a call is made, and though no call is ever answered: a further one is made in time to
-/// be answered within 6 s after the contact, and later ones follow at less than 6 s, but never a storm.
+/// Guards against both late and excessive calls while no call is answered. Whenever the first call is made after the
+/// last contact, another one follows in time to be answered within 6 s after the contact; later ones follow at constant
+/// intervals below 6 s.
 #[test]
 fn unanswered_calls_are_followed_by_further_ones_in_time() {
     for tenths in 0..=45u64 {
@@ -135,7 +137,7 @@
         }
         let calls_in_time = calls
             .iter()
-            .filter(|at| **at <= Duration::from_millis(5500))
+            .filter(|time| **time <= Duration::from_millis(5500))
             .count();
         assert!(calls_in_time >= 2, "{tenths}: {calls:?}");
         let gaps: Vec<Duration> = calls
@@ -161,24 +163,24 @@
 const RECOVERY: u64 = 10_000_000;
 /// When the simulation ends.
 const SIMULATION_END: u64 = 60_000_000;
-/// How long a call waits at a discovery that is hung.
+/// Time after which a call to a hung discovery service fails.
 const HUNG_CALL_DURATION: u64 = 4_500_000;
-/// How soon a discovery that is down refuses a call.
+/// Time after which a discovery service that is down refuses a call.
 const REFUSAL_DURATION: u64 = 50_000;
-/// How long a call may wait in the queue of discovery.
+/// Maximum time that a call may wait in the queue of discovery.
 const QUEUE_TIMEOUT: u64 = 2_000_000;
 
-/// What discovery does until it recovers.
+/// The state of discovery until it recovers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// It refuses calls at once.
+    /// Discovery refuses calls immediately.
     Down,
-    /// It accepts calls and never answers.
+    /// Discovery accepts calls and never answers.
     Hung,
 }
 
-/// One discovery service and the calls of a fleet. After its recovery it answers `answers_per_second`, one after another, and fails
-/// those that would wait longer than `QUEUE_TIMEOUT`, which costs it nothing.
+/// One discovery service and the calls of a fleet. After its recovery the service answers `answers_per_second` calls,
+/// one after another. Calls that would wait longer than `QUEUE_TIMEOUT` fail without using its capacity.
 #[derive(Clone, Copy)]
 struct Simulation {
     node_count: u32,
@@ -189,7 +191,7 @@
 /// A step of the simulation; steps at the same time are ordered by node, call and kind.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Step {
-    at: u64,
+    time: u64,
     node: u32,
     call: u32,
     kind: StepKind,
@@ -198,7 +200,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum StepKind {
     Call,
-    /// A further call, if no newer one has been made.
+    /// Another call, unless a later one has been made.
     FurtherCall,
     Answered,
     Failed,
@@ -226,9 +228,9 @@
 }
 
 struct SimulationResult {
-    /// When each node got its answer, in seconds after the recovery, sorted.
+    /// When each node received its answer, in seconds after the recovery, sorted.
     answer_delays: Vec<f64>,
-    most_calls_per_second: usize,
+    max_calls_per_second: usize,
 }
 
 /// The state of a run of a [`Simulation`].
@@ -236,7 +238,7 @@
     simulation: Simulation,
     nodes: Vec<Node>,
     calls: Vec<u64>,
-    /// When discovery has answered all calls in its queue.
+    /// When discovery will have answered all calls in its queue.
     queue_free_at: u64,
     steps: BTreeSet<Step>,
 }
@@ -260,39 +262,39 @@
             let delay = run.nodes[node as usize]
                 .schedule
                 .initial_delay(hashed_random(node, 0));
-            run.plan(micros(delay), node, 0, StepKind::Call);
+            run.schedule_step(micros(delay), node, 0, StepKind::Call);
         }
         while let Some(step) = run.steps.pop_first() {
-            run.take(&step);
+            run.execute(&step);
         }
         run.result()
     }
 }
 
 impl Run {
-    fn plan(&mut self, at: u64, node: u32, call: u32, kind: StepKind) {
+    fn schedule_step(&mut self, time: u64, node: u32, call: u32, kind: StepKind) {
         self.steps.insert(Step {
-            at,
+            time,
             node,
             call,
             kind,
         });
     }
 
-    fn take(&mut self, step: &Step) {
+    fn execute(&mut self, step: &Step) {
         let node = &mut self.nodes[step.node as usize];
-        if node.answered_at.is_some() || step.at > SIMULATION_END {
+        if node.answered_at.is_some() || step.time > SIMULATION_END {
             return;
         }
         match step.kind {
-            StepKind::Call => self.call(step.at, step.node),
+            StepKind::Call => self.call(step.time, step.node),
             StepKind::FurtherCall => {
                 if step.call == node.calls_made && node.open_calls > 0 {
-                    self.call(step.at, step.node);
+                    self.call(step.time, step.node);
                 }
             }
-            StepKind::Answered => node.answered_at = Some(step.at),
-            StepKind::Failed => self.fail(step.at, step.node),
+            StepKind::Answered => node.answered_at = Some(step.time),
+            StepKind::Failed => self.fail(step.time, step.node),
         }
     }
 
@@ -304,14 +306,14 @@
         let since_contact = Duration::from_micros(now - node.last_contact);
         let timeout = unanswered_call_timeout(since_contact, node.open_calls > 1);
         self.calls.push(now);
-        self.plan(
+        self.schedule_step(
             now + micros(timeout),
             node_index,
             call,
             StepKind::FurtherCall,
         );
         let (ends_at, kind) = self.end_of_call(now);
-        self.plan(ends_at, node_index, call, kind);
+        self.schedule_step(ends_at, node_index, call, kind);
     }
 
     fn end_of_call(&mut self, now: u64) -> (u64, StepKind) {
@@ -341,7 +343,7 @@
         if node.open_calls == 0 {
             let random = hashed_random(node_index, node.calls_made);
             let delay = node.schedule.retry_delay(random);
-            self.plan(now + micros(delay), node_index, 0, StepKind::Call);
+            self.schedule_step(now + micros(delay), node_index, 0, StepKind::Call);
         }
     }
 
@@ -350,10 +352,10 @@
         let count_from = |from: &u64| {
             self.calls
                 .iter()
-                .filter(|at| (*from..*from + 1_000_000).contains(at))
+                .filter(|time| (*from..*from + 1_000_000).contains(time))
                 .count()
         };
-        let seconds_after_recovery = |at: u64| at.saturating_sub(RECOVERY) as f64 / 1e6;
+        let seconds_after_recovery = |time: u64| time.saturating_sub(RECOVERY) as f64 / 1e6;
         let mut answer_delays: Vec<f64> = self
             .nodes
             .iter()
@@ -362,7 +364,7 @@
         answer_delays.sort_by(f64::total_cmp);
         SimulationResult {
             answer_delays,
-            most_calls_per_second: self.calls.iter().map(count_from).max().unwrap_or(0),
+            max_calls_per_second: self.calls.iter().map(count_from).max().unwrap_or(0),
         }
     }
 }
@@ -375,43 +377,44 @@
     ((mixed ^ (mixed >> 29)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Whatever discovery did before its recovery, a fleet that it can serve is answered within 6 s, and one that it can't serve does not
-/// overload it: it goes on answering as many as it can.
+/// Guards against a fleet that keeps discovery overloaded after its recovery. A fleet within the capacity of discovery
+/// is answered within 6 s; a larger one does not keep discovery from answering as many calls as it can.
 #[test]
 fn a_recovered_discovery_answers_a_fleet_it_can_serve_in_time_and_is_not_overloaded_by_others() {
     for node_count in FLEET_SIZES {
         for fault in [Fault::Down, Fault::Hung] {
-            let enough = f64::from(node_count) / 3.0 + 20.0;
+            let sufficient_rate = f64::from(node_count) / 3.0 + 20.0;
             let SimulationResult {
                 answer_delays,
-                most_calls_per_second: most,
+                max_calls_per_second: max_calls,
             } = Simulation {
                 node_count,
-                answers_per_second: enough,
+                answers_per_second: sufficient_rate,
                 fault,
             }
             .run();
-            println!("{node_count} nodes, {fault:?}, {enough:.0} a second: last answered after {:.2} s, {most} calls in a second at the most", answer_delays.last().unwrap());
+            println!("{node_count} nodes, {fault:?}, {sufficient_rate:.0} a second: last answered after {:.2} s, at most {max_calls} calls in a second", answer_delays.last().unwrap());
             assert!(
                 answer_delays.last().is_some_and(|delay| *delay <= 6.0),
                 "{node_count}, {fault:?}: {answer_delays:?}"
             );
             assert!(
-                most as f64 <= (f64::from(node_count) * 0.9).max(MAX_FLEET_CALLS_PER_SECOND * 2.0),
-                "{node_count}, {fault:?}: {most}"
+                max_calls as f64
+                    <= (f64::from(node_count) * 0.9).max(MAX_FLEET_CALLS_PER_SECOND * 2.0),
+                "{node_count}, {fault:?}: {max_calls}"
             );
-            let few = (f64::from(node_count) / 15.0).max(1.0);
+            let insufficient_rate = (f64::from(node_count) / 15.0).max(1.0);
             let SimulationResult {
                 answer_delays,
-                most_calls_per_second: most,
+                max_calls_per_second: max_calls,
             } = Simulation {
                 node_count,
-                answers_per_second: few,
+                answers_per_second: insufficient_rate,
                 fault,
             }
             .run();
             let answered = answer_delays.iter().filter(|delay| **delay <= 15.0).count();
-            println!("{node_count} nodes, {fault:?}, {few:.1} a second: {answered} answered in 15 s, all after {:.2} s, {most} calls in a second at the most", answer_delays.last().unwrap());
+            println!("{node_count} nodes, {fault:?}, {insufficient_rate:.1} a second: {answered} answered in 15 s, all after {:.2} s, at most {max_calls} calls in a second", answer_delays.last().unwrap());
             assert!(
                 answered as f64 >= f64::from(node_count) * 0.8,
                 "{node_count}, {fault:?}: {answered}"
--- a/crates/placement/src/state/broken_connections/tests.rs
+++ b/crates/placement/src/state/broken_connections/tests.rs
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn a_bounded_number_of_moments_is_remembered_and_no_break_is_forgotten_early() {
+fn the_number_of_entries_is_bounded_and_no_break_is_dropped_early() {
     let mut broken = BrokenConnections::default();
     for millis in 0..1_000 {
         broken.record(at_millis(millis), MAX_AGE);
     }
-    assert_eq!(broken.counts.len(), MAX_MOMENTS);
+    assert_eq!(broken.counts.len(), MAX_ENTRIES);
     assert_eq!(broken.count_within(at_millis(1_000), MAX_AGE), 1_000);
     assert!(broken.count_within(at_millis(2_900), MAX_AGE) >= 900);
 }
--- a/crates/placement/src/state/candidate_scan.rs
+++ b/crates/placement/src/state/candidate_scan.rs
@@ -1,25 +1,25 @@
-//! A scan of servers in any order for the first one of each tier.
+//! Finds the first server of each tier in ranking order from servers offered in any order.
 
 use crate::state::ranking_index::RankedServer;
 use crate::state::server_table::ServerSlot;
 
-/// A server that a scan was offered.
+/// A server offered to a scan.
 #[derive(Clone, Copy)]
 struct ScannedServer {
-    /// It ranks above the start, so the walk reaches it only after wrapping around.
+    /// Whether it ranks above the start, so that the walk reaches it only after wrapping around.
     is_wrapped: bool,
     server: RankedServer,
 }
 
-/// The first server of each tier in a walk by falling scores. The walk starts at a given server and wraps around to the
-/// higher scores at its end. Servers may be offered in any order, so none has to be sorted.
+/// The first server of each tier in a walk in order of falling scores, which starts at a given server and wraps around
+/// to the higher scores. Servers may be offered in any order, so they need not be sorted.
 pub(crate) struct CandidateScan<const TIERS: usize> {
     start: Option<RankedServer>,
     first: [Option<ScannedServer>; TIERS],
 }
 
 impl<const TIERS: usize> CandidateScan<TIERS> {
-    /// A scan that starts at this server, or at the top score.
+    /// Creates a scan that starts at the given server, or at the highest score if there is none.
     pub(crate) fn starting_at(start: Option<RankedServer>) -> Self {
         CandidateScan {
             start,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Offers a server of a tier; `precedes` decides between equal scores.
+    /// Offers a server of a tier. `precedes` orders servers with equal scores.
     pub(crate) fn offer(
         &mut self,
         tier: usize,
--- a/crates/placement/src/state/candidate_scan/tests.rs
+++ b/crates/placement/src/state/candidate_scan/tests.rs
@@ -2,13 +2,13 @@
 use crate::state::server_table::ServerTable;
 use rand_core::{RngCore, SeedableRng};
 
-/// Against sorting everything and rotating the list.
+/// Compares the scan with a sorted list of all servers, rotated to the start.
 #[test]
-fn a_scan_finds_what_comes_first_in_the_sorted_and_rotated_list() {
+fn a_scan_finds_the_first_server_of_each_tier_in_the_sorted_and_rotated_list() {
     for seed in 0..60 {
-        let mut random = rand_pcg::Pcg32::seed_from_u64(seed);
+        let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
         let mut table: ServerTable<()> = ServerTable::default();
-        let mut draw = |most: u32| random.next_u32() % most;
+        let mut draw = |bound: u32| rng.next_u32() % bound;
         let mut all: Vec<(usize, u32, ServerSlot)> = Vec::new();
         for number in 0..=draw(30) {
             let slot = table.insert(format!("s-{number}").as_str().into(), ());
@@ -25,7 +25,10 @@
         }
         sorted.rotate_left(start);
         for tier in 0..3 {
-            let first = sorted.iter().find(|one| one.0 == tier).map(|one| one.2);
+            let first = sorted
+                .iter()
+                .find(|entry| entry.0 == tier)
+                .map(|entry| entry.2);
             assert_eq!(scan.first(tier), first, "seed {seed}");
         }
     }
--- a/crates/placement/src/state/departures/tests.rs
+++ b/crates/placement/src/state/departures/tests.rs
@@ -6,9 +6,9 @@
     Timestamp(millis * 1_000_000)
 }
 
-fn departures(moments: &[u64]) -> Departures {
+fn departures(times: &[u64]) -> Departures {
     let mut departures = Departures::default();
-    for millis in moments {
+    for millis in times {
         departures.record(at_millis(*millis), 1.0);
     }
     departures
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn servers_that_leave_together_count_for_two_windows() {
+fn servers_that_depart_together_count_for_two_windows() {
     let departures = departures(&[1_000, 1_000, 1_900]);
     assert!((max_weight(&departures, 2_900) - 3.0).abs() < 1e-9);
     assert!((max_weight(&departures, 3_899) - 3.0).abs() < 1e-9);
@@ -27,15 +27,15 @@
 }
 
 #[test]
-fn servers_that_leave_one_after_another_count_by_the_window() {
-    let moments: Vec<u64> = (0..10).map(|step| step * 500).collect();
-    let departures = departures(&moments);
+fn servers_that_depart_one_after_another_count_by_the_window() {
+    let times: Vec<u64> = (0..10).map(|step| step * 500).collect();
+    let departures = departures(&times);
     assert!((max_weight(&departures, 4_600) - 2.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_bounded_number_of_departures_is_remembered() {
-    let moments: Vec<u64> = (0..1_000).collect();
-    let departures = departures(&moments);
+fn the_number_of_remembered_departures_is_bounded() {
+    let times: Vec<u64> = (0..1_000).collect();
+    let departures = departures(&times);
     assert_eq!(departures.recent.len(), MAX_DEPARTURES);
 }
--- a/crates/placement/src/state/elapsed.rs
+++ b/crates/placement/src/state/elapsed.rs
@@ -3,12 +3,12 @@
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Whether it happened less than `span` ago.
-pub(crate) fn happened_within(now: Timestamp, at: Option<Timestamp>, span: Duration) -> bool {
-    at.is_some_and(|at| now.saturating_duration_since(at) < span)
+/// Returns true if the event happened less than `span` ago.
+pub(crate) fn happened_within(now: Timestamp, time: Option<Timestamp>, span: Duration) -> bool {
+    time.is_some_and(|time| now.saturating_duration_since(time) < span)
 }
 
-/// Whether it never happened, or more than `span` ago.
-pub(crate) fn is_longer_ago(now: Timestamp, at: Option<Timestamp>, span: Duration) -> bool {
-    at.is_none_or(|at| now.saturating_duration_since(at) > span)
+/// Returns true if the event never happened or happened more than `span` ago.
+pub(crate) fn is_longer_ago(now: Timestamp, time: Option<Timestamp>, span: Duration) -> bool {
+    time.is_none_or(|time| now.saturating_duration_since(time) > span)
 }
--- a/crates/placement/src/state/fleet.rs
+++ b/crates/placement/src/state/fleet.rs
@@ -1,7 +1,7 @@
-//! The servers that a node knows, with the totals and indexes that spare decisions a walk over all of them.
+//! The known servers, with totals and indexes so that decisions need not iterate over all of them.
 //!
-//! [`Fleet::update`] also takes servers out of the ranking index that drain, were removed or have no slow-start budget; all
-//! other decisions are made in `policy`, `limits` and `recovery`.
+//! [`Fleet::update`] also removes from the ranking index servers that drain, were removed or have no slow-start budget.
+//! All other decisions are made in `policy`, `limits` and `recovery`.
 
 use crate::recovery::zone_reachability::ZoneReachability;
 use crate::state::departures::Departures;
@@ -12,16 +12,17 @@
 use crate::{Health, Timestamp};
 use std::time::Duration;
 
-/// The known servers. Guards against decisions whose cost grows with the fleet at a node that holds little of it.
+/// The known servers. Keeps the cost of decisions from growing with the fleet at a node that has few of its
+/// connections.
 #[derive(Default)]
 pub(crate) struct Fleet {
     pub(crate) servers: ServerTable<Server>,
     pub(crate) totals: FleetTotals,
-    /// Ready servers that may be selected; draining and removed ones are not in it.
+    /// Ready servers that may be selected. Does not contain draining and removed servers.
     pub(crate) ranking_index: RankingIndex,
-    /// Servers that hold connections, warm up, have a concurrency limit, drain or were removed.
+    /// Servers that need upkeep: they have connections, warm up, have a concurrency limit, drain or were removed.
     pub(crate) upkeep_slots: Vec<ServerSlot>,
-    /// Servers that stopped being ready lately.
+    /// Servers that recently stopped being ready.
     pub(crate) departures: Departures,
     /// Whether this node's budget for servers in slow start allows an attempt.
     admits_slow_start: bool,
@@ -29,7 +30,7 @@
 }
 
 impl Fleet {
-    /// Changes a server, and with it the totals and indexes.
+    /// Changes a server and updates the totals and indexes accordingly.
     pub(crate) fn update(&mut self, slot: ServerSlot, change: impl FnOnce(&mut Server)) {
         let Some(server) = self.servers.get_mut(slot) else {
             return;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Adds servers in slow start to the ranking index, or takes them out.
+    /// Adds servers in slow start to the ranking index or removes them.
     pub(crate) fn set_admits_slow_start(&mut self, admits: bool) {
         if self.admits_slow_start == admits {
             return;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The ready servers that started lately.
+    /// The ready servers in slow start.
     pub(crate) fn servers_in_slow_start(&self) -> impl Iterator<Item = &Server> + '_ {
         self.upkeep_slots
             .iter()
@@ -80,7 +81,7 @@
             .filter(|server| server.slow_start.is_active && server.health == Health::Ready)
     }
 
-    /// Forgets a server that is gone.
+    /// Removes a server from the table and the totals.
     pub(crate) fn remove(&mut self, slot: ServerSlot) {
         if let Some(server) = self.servers.get(slot) {
             self.totals.subtract(server);
@@ -88,7 +89,7 @@
         self.servers.remove(slot);
     }
 
-    /// The ready servers of the zones for which `matches` holds.
+    /// The ready servers in zones for which `matches` returns true.
     pub(crate) fn ready_in_zones(&self, matches: impl Fn(u32) -> bool) -> Vec<ServerSlot> {
         let is_match = |slot: &ServerSlot| {
             self.servers
@@ -103,8 +104,9 @@
         self.servers.get(slot).map(|server| server.zone)
     }
 
-    /// A server cannot be reached. Gives the servers of its zone if that tells that the whole zone cannot be. With
-    /// `is_lasting` the zone then counts as unreachable until something in it answers.
+    /// Records that a server is unreachable. Returns the ready servers of its zone if the whole zone is considered
+    /// unreachable, otherwise none. With `is_lasting`, the zone then counts as unreachable until a server in it
+    /// answers.
     pub(crate) fn record_unreachable(
         &mut self,
         now: Timestamp,
@@ -125,10 +127,10 @@
                 .is_some_and(|server| !server.connections.is_empty())
         };
         let failed = self.zones.unreachable_servers(zone);
-        let others_stand = zone_slots
+        let others_have_connections = zone_slots
             .iter()
             .any(|slot| !failed.contains(slot) && has_connections(slot));
-        if !self.zones.confirms_outage(zone, others_stand) {
+        if !self.zones.confirms_outage(zone, others_have_connections) {
             return Vec::new();
         }
         if is_lasting {
@@ -137,7 +139,7 @@
         zone_slots
     }
 
-    /// A server answers: its whole zone can be reached again.
+    /// Records an answer from a server, which ends an outage of its zone.
     pub(crate) fn record_zone_answer(&mut self, now: Timestamp, slot: ServerSlot) {
         let Some(zone) = self.zone_of(slot) else {
             return;
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Whether something outside this server's zone has answered within this time.
+    /// Returns true if a server outside this server's zone answered within `window`.
     pub(crate) fn answered_outside_zone_of(
         &self,
         now: Timestamp,
@@ -167,13 +169,13 @@
             .is_some_and(|zone| self.zones.answered_outside(now, zone, window))
     }
 
-    /// The servers of this server's zone that could not be reached lately.
+    /// The servers of this server's zone that were recently unreachable.
     pub(crate) fn unreachable_in_zone_of(&self, slot: ServerSlot) -> Vec<ServerSlot> {
         self.zone_of(slot)
             .map_or(Vec::new(), |zone| self.zones.unreachable_servers(zone))
     }
 
-    /// The zones that cannot be reached.
+    /// The zones that count as unreachable.
     pub(crate) fn unreachable_zones(&self) -> Vec<u32> {
         self.zones.unreachable_zones()
     }
--- a/crates/placement/src/state/fleet_totals.rs
+++ b/crates/placement/src/state/fleet_totals.rs
@@ -1,4 +1,4 @@
-//! Totals over all known servers, kept up with each change of one.
+//! Totals over all known servers, updated with each change of a server.
 
 use crate::state::server::Server;
 use crate::Health;
@@ -8,13 +8,13 @@
     pub(crate) connections: f64,
     /// Servers that are ejected, for whatever reason.
     pub(crate) ejected: f64,
-    /// Of those, the ones whose zone cannot be reached.
+    /// Ejected servers whose zone is unreachable.
     pub(crate) unreachable: f64,
-    /// Servers that are listed as ready.
+    /// Servers that the endpoint list reports as ready.
     pub(crate) ready: f64,
-    /// Of those, the ones that do not warm up.
+    /// Ready servers that are not in slow start.
     pub(crate) warm: f64,
-    /// Of the warm ones, those that are not ejected.
+    /// Warm servers that are not ejected.
     pub(crate) available_warm: f64,
     /// Weight of the warm servers.
     pub(crate) warm_weight: f64,
@@ -26,9 +26,9 @@
     pub(crate) available_weight: f64,
     /// Servers that have reported their utilization.
     pub(crate) reporting: f64,
-    /// Sum of the utilization that they reported.
+    /// Sum of the reported utilization.
     pub(crate) utilization: f64,
-    /// This node's load on them.
+    /// This node's load on the servers that have reported their utilization.
     pub(crate) reported_load: f64,
 }
 
--- a/crates/placement/src/state/group_frequency/tests.rs
+++ b/crates/placement/src/state/group_frequency/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn old_requests_count_less_until_their_group_is_forgotten() {
+fn old_requests_count_less_until_their_group_is_dropped() {
     let mut frequency = GroupFrequency::default();
     for _ in 0..3 {
         frequency.record(1);
--- a/crates/placement/src/state/learned_state.rs
+++ b/crates/placement/src/state/learned_state.rs
@@ -1,32 +1,32 @@
-//! What a process has learned of its servers, for one that takes its place at once. It has durations in place of moments,
-//! since the two have clocks of their own.
+//! The state that a process has learned about its servers, for the successor process that takes over from it. Contains
+//! durations instead of timestamps, because the two processes have different clocks.
 
 use crate::state::fleet::Fleet;
 use crate::state::server::Server;
 use crate::{Health, ServerId, Settings, Timestamp};
 use std::time::Duration;
 
-/// Two clocks tell the same start of a server within this time.
+/// Maximum difference between the start times that two clocks give for the same process of a server.
 const START_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// What was learned of one server.
+/// The state learned about one server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearnedServer {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
-    /// How long ago it started, if that is known.
+    /// Time since the server started, if known.
     pub started_ago: Option<Duration>,
-    /// The most load of this node's that it may hold, in units of work a second; none if it was never overloaded.
+    /// The maximum load from this node, in units of work per second; `None` without a concurrency limit.
     pub concurrency_limit: Option<f64>,
-    /// How long ago it was last overloaded.
+    /// Time since the server was last overloaded.
     pub overloaded_ago: Option<Duration>,
-    /// For how long it is still ejected.
+    /// Remaining time of its ejection.
     pub ejected_for: Option<Duration>,
-    /// How often it was ejected in a row.
+    /// Number of consecutive ejections.
     pub ejection_count: u32,
-    /// Its failures since the last success.
+    /// Number of failures since the last success.
     pub consecutive_failures: u32,
-    /// It will come back warming up.
+    /// Whether the server probably restarted, so that it will be warming up when it accepts connections again.
     pub restart_suspected: bool,
 }
 
@@ -59,7 +59,8 @@
         server.restart_suspected |= self.restart_suspected;
     }
 
-    /// Whether the server is known to have started later: it is then another process than the one learned of.
+    /// Returns true if the server is known to have started later, so that the learned state is about an earlier
+    /// process.
     fn is_outdated(&self, now: Timestamp, server: &Server) -> bool {
         let Some(known_start) = server.started_at else {
             return false;
@@ -72,14 +73,14 @@
     }
 }
 
-/// The moment a `span` before `now`.
+/// The time `span` before `now`.
 fn before(now: Timestamp, span: Duration) -> Timestamp {
     let nanoseconds = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
     Timestamp(now.0.saturating_sub(nanoseconds))
 }
 
 impl Fleet {
-    /// What was learned of the servers that are listed, ordered by id.
+    /// The learned state of the servers on the endpoint list, ordered by id.
     pub(crate) fn learned_state(&self, now: Timestamp) -> Vec<LearnedServer> {
         let mut learned: Vec<LearnedServer> = self
             .servers
@@ -95,7 +96,7 @@
         learned
     }
 
-    /// Takes over what another process learned of the servers that are listed.
+    /// Applies the state that another process learned about the servers on the endpoint list.
     pub(crate) fn apply_learned_state(
         &mut self,
         settings: &Settings,
--- a/crates/placement/src/state/load_accounting.rs
+++ b/crates/placement/src/state/load_accounting.rs
@@ -1,19 +1,19 @@
-//! The load that requests are accounted with on their servers.
+//! Accounting of the load that requests place on their servers.
 
 use crate::balancer::Balancer;
 use crate::state::request::RequestState;
 use crate::RequestId;
 
-/// Load that the first connection of a group causes on a server, in mean loads.
+/// Load that the first connection of a group adds on a server, as a multiple of the mean load.
 pub(crate) const GROUP_OVERHEAD_RATIO: f64 = 2.0;
 
 impl Balancer {
-    /// This node's load for each unit of weight, over the ready servers.
+    /// This node's load on ready servers per unit of weight of those that are not ejected.
     pub(crate) fn fair_load_per_weight(&self) -> f64 {
         self.fleet.totals.load / self.fleet.totals.available_weight.max(1e-9)
     }
 
-    /// The request's load, else the mean of its class, else the mean of all.
+    /// The request's load if declared or observed, else the mean of its class, else the mean of all classes.
     pub(crate) fn load_of(&self, request: &RequestState) -> f64 {
         request
             .load
--- a/crates/placement/src/state/load_estimates.rs
+++ b/crates/placement/src/state/load_estimates.rs
@@ -1,10 +1,10 @@
-//! Mean load of a connection, over all and for each class, from observed connections.
+//! Mean load of a connection, overall and per class, from observed connections.
 
-/// What a sum is multiplied with when a new observation is added, so that the mean follows the day.
+/// Factor applied to the sums before each new observation, so that the mean follows changes over the day.
 const RETAINED_PER_OBSERVATION: f64 = 0.995;
-/// Mean load before anything was observed.
+/// Mean load before any observation.
 const DEFAULT_LOAD: f64 = 1.0;
-/// Connections that a node may hold on each server when it cannot tell yet.
+/// Connections that a node may have on each server before it has an estimate.
 pub(crate) const DEFAULT_CONNECTIONS_PER_SERVER: f64 = 5.0;
 
 #[derive(Clone, Copy, Default)]
@@ -19,7 +19,7 @@
     }
 }
 
-/// Samples by the class's position in the settings. Loads are in units of work a second.
+/// Samples by the index of the class in the settings. Loads are in units of work per second.
 pub(crate) struct LoadEstimates {
     classes: Vec<LoadSamples>,
 }
@@ -53,13 +53,14 @@
         self.classes.get(class).copied()?.mean()
     }
 
-    /// The settings have changed: `previous_positions` has each class's position before, if it was there.
-    pub(crate) fn rearrange(&mut self, previous_positions: &[Option<usize>]) {
+    /// Reorders the samples after a change of settings. `previous_indices` contains the previous index of each class,
+    /// if it had one.
+    pub(crate) fn rearrange(&mut self, previous_indices: &[Option<usize>]) {
         let samples_at =
-            |position: &Option<usize>| position.and_then(|at| self.classes.get(at)).copied();
-        self.classes = previous_positions
+            |index: &Option<usize>| index.and_then(|index| self.classes.get(index)).copied();
+        self.classes = previous_indices
             .iter()
-            .map(|position| samples_at(position).unwrap_or_default())
+            .map(|index| samples_at(index).unwrap_or_default())
             .collect();
     }
 }
--- a/crates/placement/src/state/mod.rs
+++ b/crates/placement/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the decisions know: servers, requests, load, and totals over the fleet.
+//! The state on which decisions are based: servers, requests, load, and totals over the fleet.
 
 pub(crate) mod broken_connections;
 pub(crate) mod candidate_scan;
--- a/crates/placement/src/state/ranking_index.rs
+++ b/crates/placement/src/state/ranking_index.rs
@@ -1,10 +1,10 @@
-//! The servers that may be ranked, as one dense array of hashes: a decision looks at each of them, at a cost of about a
-//! nanosecond a server, and sorts only as many as it asks for.
+//! The servers that may be ranked, as one dense array of hashes. A decision scores all of them, at about one nanosecond
+//! per server, and sorts only as many as it requests.
 
 use crate::state::server_table::ServerSlot;
 use std::collections::HashMap;
 
-/// Hashes that are scored and compared at a time, without a branch between them.
+/// Number of hashes that are scored and compared at a time, without branches in between.
 const BLOCK_LENGTH: usize = 16;
 
 /// A server with its hash.
@@ -22,7 +22,7 @@
 }
 
 impl RankedServer {
-    /// Whether it ranks above the other; `precedes` decides between equal scores.
+    /// Returns true if the server ranks above the other. `precedes` orders servers with equal scores.
     pub(crate) fn is_above(
         self,
         other: RankedServer,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The highest scores met so far, best first.
+/// The `count` servers with the highest scores so far, best first.
 struct TopRanked {
     count: usize,
     servers: Vec<RankedServer>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The lowest score that may still be among the top.
+    /// The lowest score with which a server may still be among the top.
     fn min_score(&self) -> u32 {
         if self.is_full() {
             self.servers.last().map_or(u32::MAX, |last| last.score)
@@ -74,7 +74,7 @@
     }
 }
 
-/// Servers by position, each with its hash.
+/// The servers with their hashes, in no particular order, and the position of each.
 #[derive(Default)]
 pub(crate) struct RankingIndex {
     hashes: Vec<u32>,
@@ -87,14 +87,14 @@
         self.slots.len()
     }
 
-    /// Adds a server that is not in the index. The order of adding means nothing.
+    /// Adds a server that is not in the index. The order of additions does not affect rankings.
     pub(crate) fn add(&mut self, hash: u32, slot: ServerSlot) {
         self.positions.insert(slot, self.slots.len() as u32);
         self.hashes.push(hash);
         self.slots.push(slot);
     }
 
-    /// Removes a server, if it is in the index, in constant time.
+    /// Removes a server in constant time, if it is in the index.
     pub(crate) fn remove(&mut self, slot: ServerSlot) {
         let Some(position) = self.positions.remove(&slot) else {
             return;
@@ -116,9 +116,9 @@
             })
     }
 
-    /// The `count` highest scores among the servers that `accepts` leaves, best first; `precedes` decides between equal
-    /// ones. `others` are servers that are not in the index. The cost of `accepts` is paid only for those that come near
-    /// the top.
+    /// The servers with the `count` highest scores among those for which `accepts` returns true, best first. `precedes`
+    /// orders servers with equal scores. `others` are servers that are not in the index. `accepts` is called only for
+    /// servers whose score may be among the highest.
     pub(crate) fn best(
         &self,
         count: usize,
--- a/crates/placement/src/state/ranking_index/tests.rs
+++ b/crates/placement/src/state/ranking_index/tests.rs
@@ -2,45 +2,45 @@
 use crate::state::server_table::ServerTable;
 use rand_core::{RngCore, SeedableRng};
 
-/// Against sorting everything, with hashes of few values so that scores are often equal.
+/// Compares the index with a sorted list of all servers. Hashes have few values, so that scores are often equal.
 #[test]
-fn the_best_are_those_that_sorting_all_would_give() {
+fn the_best_servers_are_those_of_a_full_sort() {
     for seed in 0..60 {
-        let mut random = rand_pcg::Pcg32::seed_from_u64(seed);
-        let mut draw = |most: u32| random.next_u32() % most;
+        let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
+        let mut draw = |bound: u32| rng.next_u32() % bound;
         let mut table: ServerTable<()> = ServerTable::default();
         let mut index = RankingIndex::default();
-        let mut there: Vec<(u32, ServerSlot)> = Vec::new();
+        let mut indexed: Vec<(u32, ServerSlot)> = Vec::new();
         for number in 0..draw(200) {
             let slot = table.insert(format!("s-{number}").as_str().into(), ());
             let hash = draw(50);
             index.add(hash, slot);
-            there.push((hash, slot));
+            indexed.push((hash, slot));
             if draw(4) == 0 {
-                let gone = there.swap_remove(draw(there.len() as u32) as usize);
-                index.remove(gone.1);
+                let removed = indexed.swap_remove(draw(indexed.len() as u32) as usize);
+                index.remove(removed.1);
             }
         }
         let (key, count) = (draw(1000), draw(70) as usize);
-        let left = |slot: ServerSlot| table.id(slot).is_some_and(|id| !id.0.ends_with('7'));
-        let found = index.best(
+        let accepts = |slot: ServerSlot| table.id(slot).is_some_and(|id| !id.0.ends_with('7'));
+        let best = index.best(
             count,
             |hash| hash * key,
             std::iter::empty(),
-            left,
+            accepts,
             |a, b| a < b,
         );
-        let mut all: Vec<RankedServer> = there
+        let mut expected: Vec<RankedServer> = indexed
             .iter()
-            .filter(|(_, slot)| left(*slot))
+            .filter(|(_, slot)| accepts(*slot))
             .map(|(hash, slot)| RankedServer {
                 score: hash * key,
                 slot: *slot,
             })
             .collect();
-        all.sort_by(|a, b| b.score.cmp(&a.score).then(a.slot.cmp(&b.slot)));
-        all.truncate(count);
-        assert_eq!(found, all, "seed {seed}");
-        assert_eq!(index.len(), there.len(), "seed {seed}");
+        expected.sort_by(|a, b| b.score.cmp(&a.score).then(a.slot.cmp(&b.slot)));
+        expected.truncate(count);
+        assert_eq!(best, expected, "seed {seed}");
+        assert_eq!(index.len(), indexed.len(), "seed {seed}");
     }
 }
--- a/crates/placement/src/state/request.rs
+++ b/crates/placement/src/state/request.rs
@@ -1,22 +1,22 @@
-//! What a node keeps of each request, from its arrival to the end of its connection.
+//! The state of each request, from its arrival to the end of its connection.
 
 use crate::state::server::Server;
 use crate::state::server_table::ServerSlot;
 use crate::{Class, Timestamp};
 
-/// A send to a server, and what came of it.
+/// An attempt on a server and its state.
 pub(crate) struct Attempt {
     pub(crate) server: ServerSlot,
-    /// Inherited, or the first attempt of a connection in mid-flow: its holder has nothing to set up, so it neither
-    /// takes a slot of the setup window nor teaches how long a setup takes.
+    /// Whether the connection was inherited, or this is the first attempt of a connection in mid-flow. Nothing has to
+    /// be set up at its server then, so it neither counts in the setup window nor provides a setup duration.
     pub(crate) skips_setup: bool,
     pub(crate) sent_at: Timestamp,
     pub(crate) is_established: bool,
-    /// The client of its connection was asked to reconnect.
+    /// Whether its client was asked to reconnect.
     pub(crate) is_migrated: bool,
 }
 
-/// Where and when an attempt may have been executed.
+/// The place and time at which an attempt may have been executed.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleExecution {
     pub(crate) zone: u32,
@@ -37,31 +37,32 @@
 /// A wait before the next attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Deferral {
-    /// The server whose health check ends the wait early, or `UNKNOWN`.
+    /// The server whose health check result ends the wait early, or `UNKNOWN`.
     pub(crate) awaited_server: ServerSlot,
     pub(crate) until: Timestamp,
 }
 
 #[derive(Default)]
 pub(crate) struct RequestState {
-    /// The position of its class in the present settings, past their end if the class was dropped.
+    /// The index of its class in the present settings, past their end if the class was dropped.
     pub(crate) class: usize,
-    /// The rules of its class when it arrived; it keeps them whatever the settings are by now.
+    /// The rules of its class at its arrival, which later settings do not change.
     pub(crate) class_rules: Option<Class>,
     pub(crate) max_attempts: u32,
     pub(crate) tenant: Option<usize>,
     pub(crate) is_reconnect: bool,
     /// The hash of its group.
     pub(crate) group: Option<u32>,
-    /// The hash by which servers are ranked for it: that of its group, else of its client.
+    /// The hash by which servers are ranked for the request: that of its group if it has one, else that of its client.
     pub(crate) key: u32,
-    /// The hash of its own key, whatever its group: it differs between the connections of a group.
+    /// The hash of its own key, which differs between the connections of a group.
     pub(crate) connection_key: u32,
-    /// Which of a split group's servers it starts at, as a part of them: the same at every node.
+    /// Where its ranking starts among the servers of a split group, as a fraction of them. For a first connection it
+    /// follows from the key, so it is the same at every node; for a reconnect it is random.
     pub(crate) split_position: f64,
-    /// Its load, if declared or observed.
+    /// The declared or observed load, if any.
     pub(crate) load: Option<f64>,
-    /// What it adds to its server's load now.
+    /// The load with which it is accounted on its server at present.
     pub(crate) accounted_load: f64,
     pub(crate) deadline: Timestamp,
     pub(crate) is_mid_flow: bool,
@@ -70,25 +71,25 @@
     pub(crate) in_flight: Option<Attempt>,
     /// The earliest attempt that may have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// Answered or abandoned; kept only until the end of its attempt is reported.
+    /// Whether it was answered or abandoned, and is kept only until the end of its attempt is reported.
     pub(crate) is_finished: bool,
     pub(crate) deferral: Option<Deferral>,
 }
 
 impl RequestState {
-    /// Whether its connection is established and nothing has been said that ends it.
+    /// Returns true if the connection is established and the request is not finished.
     pub(crate) fn is_established(&self) -> bool {
         let in_flight = self.in_flight.as_ref();
         !self.is_finished && in_flight.is_some_and(|attempt| attempt.is_established)
     }
 
-    /// Whether many like it may come to all nodes at the same moment: connections break and servers drain for all clients at
-    /// once, and what fails at one server is tried again at the next.
-    pub(crate) fn may_come_in_wave(&self) -> bool {
+    /// Returns true if the request may be part of a wave: connections break and servers drain for many clients at once,
+    /// which then reconnect to all nodes, and requests that fail at one server are retried at the next.
+    pub(crate) fn may_be_in_wave(&self) -> bool {
         self.is_reconnect || self.attempt_count > 0
     }
 
-    /// Whether it continues a connection in mid-flow and has not been sent yet.
+    /// Returns true if the request continues a connection in mid-flow and has not been sent to any server.
     pub(crate) fn is_first_mid_flow_attempt(&self) -> bool {
         self.is_mid_flow && self.attempt_count == 0
     }
@@ -106,7 +107,7 @@
     }
 
     /// Ends a wait for the health check of this server.
-    pub(crate) fn on_health_check_of(&mut self, slot: ServerSlot) {
+    pub(crate) fn end_wait_for_health_check(&mut self, slot: ServerSlot) {
         self.deferral = self
             .deferral
             .filter(|deferral| deferral.awaited_server != slot);
--- a/crates/placement/src/state/request_rate.rs
+++ b/crates/placement/src/state/request_rate.rs
@@ -4,7 +4,7 @@
 
 const DECAY_PER_SECOND: f64 = 0.3;
 
-/// An estimate from recent requests, which count less as they grow older.
+/// An estimate from recent requests, decaying with age.
 #[derive(Default)]
 pub(crate) struct RequestRate {
     recent_requests: f64,
@@ -15,7 +15,7 @@
         self.recent_requests += 1.0;
     }
 
-    /// A second has passed.
+    /// Decays the estimate; called once per second.
     pub(crate) fn decay(&mut self) {
         self.recent_requests = decayed(self.recent_requests, DECAY_PER_SECOND);
     }
--- a/crates/placement/src/state/server.rs
+++ b/crates/placement/src/state/server.rs
@@ -1,4 +1,4 @@
-//! What a node holds on one server and has learned of it.
+//! A node's connections to one server and its state.
 
 use crate::limits::concurrency_limit::ConcurrencyLimit;
 use crate::recovery::ejection::Ejection;
@@ -7,11 +7,11 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// A report tells how many connections fill a server from this utilization on.
+/// Minimum reported utilization for an estimate of the connections at capacity.
 const MIN_UTILIZATION_FOR_ESTIMATE: f64 = 0.1;
-/// A report tells how many connections fill a server from so many connections on.
+/// Minimum number of connections for an estimate of the connections at capacity.
 const MIN_CONNECTIONS_FOR_ESTIMATE: usize = 2;
-/// Weight of servers for which none is listed.
+/// Weight of servers for which the endpoint list contains none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// A server's load report.
@@ -20,9 +20,9 @@
     pub(crate) received_at: Timestamp,
     /// Load over capacity, of all nodes together.
     pub(crate) utilization: f64,
-    /// This node's connections there when the report came.
+    /// This node's connections to the server when the report arrived.
     pub(crate) connections: usize,
-    /// Load that this node has added since.
+    /// Net load that this node has added since.
     pub(crate) load_since: f64,
 }
 
@@ -30,16 +30,16 @@
 #[derive(Clone, Copy)]
 pub(crate) struct HealthCheck {
     pub(crate) sent_at: Timestamp,
-    /// No answer has come yet.
+    /// Whether the check is still unanswered.
     pub(crate) is_pending: bool,
 }
 
-/// What a server may be sent while it warms up.
+/// Limits on what a server receives while it warms up.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// The server started lately, as of the last upkeep or endpoint list.
+    /// Whether the server is in slow start, as of the last upkeep or endpoint list.
     pub(crate) is_active: bool,
-    /// The part of the keys that it gets: about the same ones at every node.
+    /// The fraction of keys that the server accepts: about the same keys at every node.
     pub(crate) key_ratio: f64,
     /// Attempts that may be started.
     pub(crate) tokens: f64,
@@ -47,13 +47,13 @@
 }
 
 impl SlowStart {
-    /// Whether an attempt may be started as far as this server's own budget tells.
+    /// Returns true if the server's own budget allows an attempt.
     pub(crate) fn has_token(&self) -> bool {
         !(self.is_active && self.tokens < 1.0)
     }
 }
 
-/// The indexes of the fleet that a server is in.
+/// Records which indexes of the fleet contain a server.
 #[derive(Default)]
 pub(crate) struct IndexMembership {
     pub(crate) is_ranked: bool,
@@ -69,33 +69,34 @@
     pub(crate) zone: u32,
     pub(crate) cell: u32,
     pub(crate) machine_kind: u32,
-    /// When it last started, as listed or as inferred from its return after a crash.
+    /// When it last started, by the endpoint list or inferred from its recovery after a crash.
     pub(crate) started_at: Option<Timestamp>,
-    /// When this node was told that it drains or is gone.
+    /// When this node learned that the server is draining or removed.
     pub(crate) draining_since: Timestamp,
-    /// This node's connections there: established ones and attempts in progress.
+    /// This node's connections to the server: established ones and attempts in progress.
     pub(crate) connections: BTreeSet<RequestId>,
-    /// Load of those, in units of work a second.
+    /// Load of these connections, in units of work per second.
     pub(crate) load: f64,
     /// The number of connections of each group.
     pub(crate) group_connections: HashMap<u32, u32>,
     pub(crate) limit: ConcurrencyLimit,
-    /// When it last dropped an established connection.
+    /// When an established connection to it last broke.
     pub(crate) connection_dropped_at: Option<Timestamp>,
     pub(crate) report: Option<UtilizationReport>,
-    /// When a node last told that messages take long there.
+    /// When a node last reported slow messages at the server.
     pub(crate) slow_hint_at: Option<Timestamp>,
     pub(crate) health_check: Option<HealthCheck>,
     pub(crate) ejection: Ejection,
-    /// Its established connections broke together or it refused connections: it will come back warming up.
+    /// Whether its established connections broke together or it refused connections: it probably restarted and will be
+    /// warming up when it accepts connections again.
     pub(crate) restart_suspected: bool,
     pub(crate) slow_start: SlowStart,
-    /// The part of other servers' keys that it takes while many of those servers are lost.
+    /// The fraction of lost servers' keys that it accepts while many servers are lost.
     pub(crate) redistribution_ratio: f64,
 }
 
 impl Server {
-    /// A server that has not been listed yet.
+    /// Creates a server that the endpoint list does not contain yet.
     pub(crate) fn new(hash: u32, now: Timestamp) -> Server {
         Server {
             hash,
@@ -105,13 +106,13 @@
         }
     }
 
-    /// Whether it started lately.
+    /// Returns true if the server started within the slow-start duration.
     pub(crate) fn is_in_slow_start(&self, settings: &Settings, now: Timestamp) -> bool {
         self.started_at
             .is_some_and(|started| now < started.saturating_add(settings.slow_start_duration))
     }
 
-    /// The part of its full capacity that it has at the least.
+    /// The fraction of full capacity that the server has at least.
     pub(crate) fn capacity_ratio(&self, settings: &Settings, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -122,27 +123,27 @@
         (initial_ratio + (1.0 - initial_ratio) * progress).min(1.0)
     }
 
-    /// Whether it does the shared work of the group already, or there is none to do.
+    /// Returns true if the server already does the shared work of the group, or there is no group.
     pub(crate) fn serves_group(&self, group: Option<u32>) -> bool {
         group.is_none_or(|group| self.group_connections.contains_key(&group))
     }
 
-    /// Whether it may take one more connection though it is full: it has not been overloaded for `calm_duration`, so its
-    /// limit may be out of date, and the limit was not raised within `raise_interval`. Only connections of groups that it
-    /// serves are admitted so: guards against a fleet that rejects requests and fills up with shared work, one more
-    /// group at a time at every server.
+    /// Returns true if the server may accept one more connection beyond its limit: it has not been overloaded for
+    /// `min_overload_age`, so the limit may be out of date, and the limit was not raised within `raise_interval`. The
+    /// caller admits only connections of groups that the server already serves: otherwise a fleet that rejects
+    /// requests would fill up with shared work, as every server would add one group after another.
     pub(crate) fn may_exceed_limit(
         &self,
         now: Timestamp,
-        calm_duration: Duration,
+        min_overload_age: Duration,
         raise_interval: Duration,
     ) -> bool {
         self.ejection.until.is_none()
-            && is_longer_ago(now, self.limit.overloaded_at, calm_duration)
+            && is_longer_ago(now, self.limit.overloaded_at, min_overload_age)
             && is_longer_ago(now, self.limit.raised_at, raise_interval)
     }
 
-    /// The report, if it is younger than `max_age`.
+    /// The last report, if it is younger than `max_age`.
     pub(crate) fn recent_report(
         &self,
         now: Timestamp,
@@ -152,9 +153,9 @@
             .filter(|report| now.saturating_duration_since(report.received_at) < max_age)
     }
 
-    /// The number of this node's connections that would fill the server as it is now, where its report is younger than
-    /// `max_age`: other nodes are taken to hold there what this one does. The report includes the shared work of groups,
-    /// so the estimate errs to fewer.
+    /// The number of this node's connections that would use the server's present capacity, if its report is younger
+    /// than `max_age`. Assumes that the other nodes have as many connections to the server as this one. The reported
+    /// utilization includes the shared work of groups, so the estimate errs on the low side.
     pub(crate) fn connections_at_capacity(&self, now: Timestamp, max_age: Duration) -> Option<f64> {
         let report = self.recent_report(now, max_age)?;
         let is_significant = report.utilization >= MIN_UTILIZATION_FOR_ESTIMATE
@@ -162,7 +163,7 @@
         is_significant.then(|| report.connections as f64 / report.utilization)
     }
 
-    /// Applies a listed entry. A new start under the old id is a new process.
+    /// Applies an entry of the endpoint list. A later start under the same id means a new process.
     pub(crate) fn apply_endpoint(
         &mut self,
         settings: &Settings,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Evidence against the previous process is void, and the new one warms up.
+    /// Drops the evidence against the previous process. The new one warms up.
     fn reset_for_new_process(
         &mut self,
         settings: &Settings,
@@ -208,7 +209,8 @@
         self.slow_start.key_ratio = settings.initial_capacity_ratio;
     }
 
-    /// Changes its listed state. Gives its weight if it is lost: gone without having drained.
+    /// Sets the health reported by the endpoint list. Returns the server's weight if it is lost, that is, removed
+    /// without draining first; otherwise zero.
     pub(crate) fn set_health(&mut self, now: Timestamp, health: Health) -> f64 {
         let was_ready = self.health == Health::Ready;
         if was_ready && health != Health::Ready {
@@ -222,8 +224,8 @@
         }
     }
 
-    /// A connection was established. The list may not tell for seconds that a process is a new one; it warms up all
-    /// the same.
+    /// Records that a connection was established. If a restart is suspected, slow start begins: the endpoint list may
+    /// report the new process only seconds later.
     pub(crate) fn record_success(&mut self, settings: &Settings, now: Timestamp) {
         self.ejection.record_success();
         if self.restart_suspected {
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Accounts for a connection; the first one of its group adds `group_overhead`.
+    /// Accounts for a connection. The first one of a group adds `group_overhead`.
     pub(crate) fn add_connection(
         &mut self,
         id: RequestId,
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Undoes [`Server::add_connection`]; the last one of its group removes `group_overhead`.
+    /// Undoes [`Server::add_connection`]. The last one of a group removes `group_overhead`.
     pub(crate) fn remove_connection(
         &mut self,
         id: RequestId,
@@ -271,7 +273,7 @@
         }
         self.load -= load;
         if let Some(report) = &mut self.report {
-            report.load_since -= load; // or the server would be full with what has long gone
+            report.load_since -= load; // otherwise closed connections would count toward the server's utilization
         }
         if let Some(group) = group {
             self.remove_from_group(group, group_overhead);
@@ -293,9 +295,9 @@
     }
 }
 
-/// What a listed entry changed beside the server itself.
+/// Effects of an endpoint list entry beyond the server itself.
 pub(crate) struct EndpointEffect {
-    /// Weight of a server that is gone without having drained.
+    /// Weight of the server if it was removed without draining first.
     pub(crate) lost_weight: f64,
     pub(crate) begins_slow_start: bool,
 }
--- a/crates/placement/src/state/server/tests.rs
+++ b/crates/placement/src/state/server/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn only_a_ready_server_that_is_removed_is_lost() {
+fn only_a_server_that_is_removed_while_ready_is_lost() {
     let mut drained = listed_server();
     let lost = drained.set_health(at_seconds(1), Health::Draining);
     assert!(lost.abs() < 1e-9);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_later_start_makes_a_new_process_without_evidence() {
+fn a_later_start_is_a_new_process_without_evidence_against_it() {
     let settings = crate::cost_tests::settings();
     let mut server = listed_server();
     server.ejection.consecutive_failures = 1;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_server_suspected_of_a_restart_warms_up_once_it_takes_a_connection() {
+fn a_server_suspected_of_a_restart_warms_up_once_it_accepts_a_connection() {
     let settings = crate::cost_tests::settings();
     let mut server = listed_server();
     server.record_success(&settings, at_seconds(5));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn capacity_rises_from_its_initial_part_over_the_slow_start() {
+fn capacity_rises_from_its_initial_ratio_over_the_slow_start() {
     let settings = crate::cost_tests::settings();
     let mut server = listed_server();
     assert!((server.capacity_ratio(&settings, at_seconds(1)) - 1.0).abs() < 1e-9);
@@ -99,22 +99,22 @@
 }
 
 #[test]
-fn a_full_server_exceeds_its_limit_only_when_calm_and_once_an_interval() {
-    let calm = Duration::from_secs(4);
+fn a_full_server_exceeds_its_limit_only_without_recent_overload_and_once_per_interval() {
+    let min_overload_age = Duration::from_secs(4);
     let interval = Duration::from_secs(1);
     let mut server = listed_server();
     server.limit.overloaded_at = Some(at_seconds(10));
-    assert!(!server.may_exceed_limit(at_seconds(14), calm, interval));
-    assert!(server.may_exceed_limit(at_seconds(15), calm, interval));
+    assert!(!server.may_exceed_limit(at_seconds(14), min_overload_age, interval));
+    assert!(server.may_exceed_limit(at_seconds(15), min_overload_age, interval));
     server.limit.raise_to(at_seconds(15), 1.0);
-    assert!(!server.may_exceed_limit(at_seconds(16), calm, interval));
-    assert!(server.may_exceed_limit(at_seconds(17), calm, interval));
+    assert!(!server.may_exceed_limit(at_seconds(16), min_overload_age, interval));
+    assert!(server.may_exceed_limit(at_seconds(17), min_overload_age, interval));
     server.ejection.extend_until(at_seconds(18));
-    assert!(!server.may_exceed_limit(at_seconds(17), calm, interval));
+    assert!(!server.may_exceed_limit(at_seconds(17), min_overload_age, interval));
 }
 
 #[test]
-fn a_recent_report_tells_how_many_connections_fill_the_server() {
+fn a_recent_report_gives_the_number_of_connections_at_capacity() {
     let max_age = Duration::from_secs(4);
     let mut server = listed_server();
     for (utilization, connections, expected) in
--- a/crates/placement/src/state/server_table.rs
+++ b/crates/placement/src/state/server_table.rs
@@ -1,23 +1,23 @@
-//! A table of servers under short numbers in place of their ids.
+//! A table of servers that gives each a small number, its slot, in place of its id.
 
 use crate::ServerId;
 use std::collections::HashMap;
 
-/// A server's position in the table.
+/// The index of a server in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServerSlot(u32);
 
-/// The position of no server.
+/// A slot that no server has.
 pub(crate) const UNKNOWN: ServerSlot = ServerSlot(u32::MAX);
 
 #[derive(Default)]
 struct TableRow<Row> {
-    /// None if the slot is unused.
+    /// `None` if the slot is unused.
     id: Option<ServerId>,
     row: Row,
 }
 
-/// Rows by id and by slot. The slot of a removed row is used again.
+/// Rows by id and by slot. The slot of a removed row is reused.
 #[derive(Default)]
 pub(crate) struct ServerTable<Row> {
     slots: HashMap<ServerId, ServerSlot>,
@@ -36,7 +36,7 @@
         self.slots.get(id).copied().unwrap_or(UNKNOWN)
     }
 
-    /// Every slot in use, in order.
+    /// All slots in use, in ascending order.
     pub(crate) fn slots(&self) -> Vec<ServerSlot> {
         (0..self.rows.len() as u32)
             .map(ServerSlot)
@@ -62,7 +62,7 @@
             .map(|entry| &mut entry.row)
     }
 
-    /// Adds a row for an id that has none.
+    /// Adds a row for an id that is not in the table.
     pub(crate) fn insert(&mut self, id: ServerId, row: Row) -> ServerSlot {
         let next_slot = ServerSlot(self.rows.len() as u32);
         let slot = self.unused_slots.pop().unwrap_or(next_slot);
@@ -75,7 +75,7 @@
         slot
     }
 
-    /// Removes a row; a default one stays in its slot until another takes it.
+    /// Removes a row. Its slot contains a default row until it is reused.
     pub(crate) fn remove(&mut self, slot: ServerSlot) {
         let Some(entry) = self.rows.get_mut(slot.0 as usize) else {
             return;
@@ -89,7 +89,7 @@
 
 #[cfg(test)]
 thread_local! {
-    /// Rows read by this thread, for tests of the cost of decisions.
+    /// Number of rows read by this thread, for tests of the cost of decisions.
     pub(crate) static ROWS_READ: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
--- a/crates/placement/src/state/server_table/tests.rs
+++ b/crates/placement/src/state/server_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_removed_row_gives_its_place_to_the_next_one() {
+fn the_slot_of_a_removed_row_is_reused_by_the_next_one() {
     let mut table = ServerTable::default();
     let (a, b) = (table.insert("a".into(), 1), table.insert("b".into(), 2));
     table.remove(a);
--- a/crates/placement/src/state/tenant_usage.rs
+++ b/crates/placement/src/state/tenant_usage.rs
@@ -1,8 +1,8 @@
-//! Connections that each tenant has open at this node.
+//! Open connections of each tenant at this node.
 
 use crate::Settings;
 
-/// Counts by the tenant's position in the settings.
+/// Connection counts by the index of the tenant in the settings.
 pub(crate) struct TenantUsage {
     open_connections: Vec<usize>,
 }
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Whether the tenant has more connections open than its quota, as far as this node's part of them tells.
+    /// Returns true if the tenant exceeds its quota, assuming that all nodes have as many of its connections as this
+    /// one.
     pub(crate) fn is_over_quota(&self, settings: &Settings, tenant: usize) -> bool {
         let Some(rules) = settings.tenants.get(tenant) else {
             return false;
