--- a/crates/placement/src/limits/health_check_budget.rs
+++ b/crates/placement/src/limits/health_check_budget.rs
@@ -1,6 +1,7 @@
 //! The budget for health checks.
 
-/// Cost of health checks allowed per request, in the unit of [`Settings::health_check_cost`](crate::Settings).
+/// Budget for health checks that each request adds, in points of the deployment's score. A check uses
+/// [`Settings::health_check_cost`](crate::Settings::health_check_cost) points of it.
 const BUDGET_PER_REQUEST: f64 = 0.0025;
 
 /// The number of health checks that may be sent.
@@ -10,7 +11,7 @@
 }
 
 impl HealthCheckBudget {
-    /// Adds the budget for one request that has arrived. A check costs `check_cost`.
+    /// Adds the budget for one request that has arrived. A check costs `check_cost` points.
     pub(crate) fn credit_request(&mut self, check_cost: f64) {
         self.checks += BUDGET_PER_REQUEST / check_cost.max(1e-9);
     }
--- a/crates/placement/src/poll_schedule.rs
+++ b/crates/placement/src/poll_schedule.rs
@@ -2,9 +2,8 @@
 //!
 //! Discovery has a fixed capacity. Calls that wait too long for it fail and are retried, so beyond that capacity every
 //! call is made twice or more and none is answered: 100 nodes that retried 61 failed calls after 0.25 s to 0.75 s
-//! received no answer for ten seconds.
-//! The schedule therefore spreads calls over a time proportional to the number of nodes, both at the start, when all
-//! nodes begin together, and after a failure, which most of them notice together.
+//! received no answer for ten seconds. The schedule therefore spreads calls over a time proportional to the number of
+//! nodes, both at the start, when all nodes begin together, and after a failure, which most of them notice together.
 
 use std::time::Duration;
 
@@ -50,8 +49,8 @@
 /// Least time before another call is made beside an unanswered one, which may be queued at a busy discovery service.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between calls while discovery accepts calls but answers none. All calls made before discovery
-/// recovers may be lost; with this interval, another one follows soon enough to be answered in time.
+/// Time between calls while discovery accepts calls but answers none. All calls made before discovery recovers may be
+/// lost; with this interval, another one follows soon enough to be answered in time.
 const REPEATED_CALL_INTERVAL: Duration = Duration::from_secs(4);
 
 /// The time for which a call may be unanswered before another one is made beside it.
@@ -60,8 +59,8 @@
 /// discovery service that is merely busy.
 ///
 /// `since_contact` is the time from the last contact to the call. A contact is a complete message from discovery, or a
-/// call that discovery refused, failed or closed. After a call made 0 s to 4.5 s after a contact, the next one is due 4
-/// s to 5.5 s after that contact, in the same order, so nodes that lost contact together stay spread. The interval is
+/// call that discovery refused, failed or closed. If a call is made 0 s to 4.5 s after a contact, the next one is due
+/// 4 s to 5.5 s after that contact, in the same order, so nodes that lost contact together stay spread. The interval is
 /// constant with `has_earlier_call`, that is, if another unanswered call is already open, or if changes are overdue
 /// anyway.
 pub fn unanswered_call_timeout(since_contact: Duration, has_earlier_call: bool) -> Duration {
