--- a/crates/placement/src/limits/health_checks.rs
+++ b/crates/placement/src/limits/health_checks.rs
@@ -8,7 +8,7 @@
 use crate::{Action, ServerId, Timestamp};
 use std::time::Duration;
 
-/// A report older than this is refreshed before its server is selected. Also the least time between two checks of a
+/// A report older than this is refreshed before its server is selected. Also the minimum time between two checks of a
 /// server.
 pub(crate) const REPORT_MAX_AGE: Duration = Duration::from_secs(1);
 
--- a/crates/placement/src/limits/overload.rs
+++ b/crates/placement/src/limits/overload.rs
@@ -7,7 +7,7 @@
 use crate::timer::UPKEEP_INTERVAL;
 use crate::Timestamp;
 
-/// Least time between two recorded overloads of a server, as a fraction of the upkeep interval.
+/// Minimum time between two recorded overloads of a server, as a fraction of the upkeep interval.
 const OVERLOAD_INTERVAL_RATIO: f64 = 0.9;
 
 /// Whether load beyond a limit stays or is immediately moved to other servers.
--- a/crates/placement/src/limits/setup_window.rs
+++ b/crates/placement/src/limits/setup_window.rs
@@ -17,7 +17,7 @@
 /// ... and of each node.
 const MIN_NODE_WINDOW: f64 = 0.05;
 const SHRINK_FACTOR: f64 = 0.7;
-/// Least time between two reductions of the window.
+/// Minimum time between two reductions of the window.
 const SHRINK_INTERVAL: Duration = QUEUE_INTERVAL.saturating_mul(2);
 const GROWTH_PER_SETUP: f64 = 0.5;
 /// The window grows only while more than this fraction of it is used or it is below one setup.
@@ -81,7 +81,7 @@
         self.mean_setup_seconds
     }
 
-    /// The least time that a request must have left for a setup to begin.
+    /// The minimum time that a request must have left for a setup to begin.
     pub(crate) fn min_setup_duration(&self) -> Duration {
         let quick_setup = Duration::from_secs_f64(self.quick_setup_seconds);
         QUEUE_INTERVAL.max(quick_setup) * 2
--- a/crates/placement/src/poll_schedule.rs
+++ b/crates/placement/src/poll_schedule.rs
@@ -46,7 +46,7 @@
 /// not help.
 const CONTACT_OVERDUE_AFTER: Duration = Duration::from_millis(5250);
 
-/// Least time before another call is made beside an unanswered one, which may be queued at a busy discovery service.
+/// Minimum time before another call is made beside an unanswered one, which may be queued at a busy discovery service.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time between calls while discovery accepts calls but answers none. All calls made before discovery recovers may be
