--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,72 +1,72 @@
-//! What can be wrong with the input.
+//! The errors of the adapter.
 
 use lupincrank_settings::SettingsError;
 
-/// Why the program ends before its input does.
+/// An error that ends the program before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// The input cannot be read.
-    #[error("line {number}: cannot read: {error}")]
+    #[error("line {number}: cannot read input: {error}")]
     Read {
-        /// The number of the line, from 1.
+        /// The line number, from 1.
         number: u64,
-        /// The operating system's error.
+        /// The I/O error.
         error: std::io::Error,
     },
-    /// A line cannot be understood.
+    /// A line is invalid.
     #[error("line {number}: {error}")]
     Line {
-        /// The number of the line, from 1.
+        /// The line number, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// The error in the line.
         error: LineError,
     },
     /// The output cannot be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write output: {0}")]
     Write(std::io::Error),
-    /// The input ended before the batch did.
-    #[error("the input ends inside a batch: no EOB after the last TICK")]
+    /// The input ended inside a batch.
+    #[error("input ended inside a batch: no EOB after the last TICK")]
     UnfinishedBatch,
 }
 
-/// What is wrong with a line.
+/// An error in a line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// The line is no JSON object of the protocol.
+    /// The line is not a JSON object of the protocol.
     #[error("not a message: {0}")]
     Syntax(serde_json::Error),
-    /// A `TICK` without its time.
+    /// A `TICK` without a time.
     #[error("TICK: {0}")]
     Tick(MessageError),
-    /// A `TICK` where the batch has not ended.
+    /// A `TICK` before the end of the current batch.
     #[error("TICK inside a batch")]
     TickInsideBatch,
-    /// Any other line where no batch has begun.
+    /// Any other line before the start of a batch.
     #[error("{operation:?} outside a batch")]
     OutsideBatch {
-        /// The line's operation.
+        /// The operation of the line.
         operation: String,
     },
-    /// A line whose fields are wrong.
+    /// A line with missing or invalid fields, or of an unknown operation or instance.
     #[error("{operation}: {error}")]
     Message {
-        /// The line's operation.
+        /// The operation of the line.
         operation: String,
-        /// What is wrong with it.
+        /// The error in the message.
         error: MessageError,
     },
 }
 
-/// What is wrong with the fields of a message.
+/// An error in the fields of a message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// A field that the operation needs is absent.
+    /// A required field is missing.
     #[error("{field} is missing")]
     Missing {
         /// The field's key.
         field: &'static str,
     },
-    /// A code that stands for no value.
+    /// A field has an unknown code.
     #[error("{field}: unknown code {code}")]
     UnknownCode {
         /// The field's key.
@@ -74,31 +74,31 @@
         /// The code.
         code: u32,
     },
-    /// A request's identifier is not written as the protocol says.
+    /// A request identifier is not 16 lowercase hexadecimal digits.
     #[error("Req: {text:?} is not 16 hex digits")]
     InvalidRequestId {
-        /// The identifier as it is written.
+        /// The text of the identifier.
         text: String,
     },
-    /// There is no such operation.
+    /// The operation is unknown.
     #[error("unknown op {operation:?}")]
     UnknownOperation {
-        /// The line's operation.
+        /// The operation of the line.
         operation: String,
     },
     /// The message is for an instance that was never spawned.
-    #[error("{instance:?} was never spawned")]
+    #[error("instance {instance:?} was never spawned")]
     UnknownInstance {
         /// The name of the instance.
         instance: String,
     },
     /// The message is for an instance that was torn down.
-    #[error("{instance:?} was torn down and not spawned again")]
+    #[error("instance {instance:?} was torn down and not spawned again")]
     StoppedInstance {
         /// The name of the instance.
         instance: String,
     },
-    /// The settings of a new instance cannot be used.
+    /// The settings of a new instance are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The balancers of one process and the batch that is being read.
+//! Hosts several balancer instances and collects the actions of the current batch.
 
 use crate::error::{LineError, MessageError};
 use crate::input::{required, InputLine};
@@ -6,42 +6,42 @@
 use lupincrank_placement::{Action, Balancer, Event, Timestamp};
 use std::collections::HashMap;
 
-/// Whether a line ended its batch.
+/// The state of the batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// Further lines belong to the batch.
+    /// The batch continues with the next line.
     Open,
     /// The batch is complete and a reply is due.
     Complete,
 }
 
-/// A balancer under the name by which the simulator knows it.
+/// A balancer and its name in the protocol.
 struct Instance {
     name: String,
-    /// `None` once it was torn down.
+    /// `None` after a `TEARDOWN`.
     balancer: Option<Balancer>,
 }
 
-/// An action with the instance that wants it.
+/// An action and the instance that requested it.
 struct PendingAction {
     instance_index: usize,
     action: Action,
 }
 
-/// All instances, the time of the batch that is being read, and the actions of that batch.
+/// All instances, and the time and actions of the current batch.
 #[derive(Default)]
 pub struct Host {
     instances: Vec<Instance>,
     instance_indices: HashMap<String, usize>,
-    /// The time of the batch; `None` between batches.
+    /// The time of the current batch; `None` between batches.
     now: Option<Timestamp>,
     pending_actions: Vec<PendingAction>,
-    /// Receives the actions of one event; kept to use its memory again.
+    /// Buffer for the actions of one event, kept to reuse its memory.
     event_actions: Vec<Action>,
 }
 
 impl Host {
-    /// Whether a `TICK` has been read and its `EOB` has not.
+    /// Returns true if a `TICK` has been read without its `EOB`.
     pub fn is_inside_batch(&self) -> bool {
         self.now.is_some()
     }
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// If the line cannot be understood, or not at this place.
+    /// If the line is invalid, or not allowed in the current state of the batch.
     pub fn handle_line(&mut self, text: &str) -> Result<BatchState, LineError> {
         let line: InputLine = serde_json::from_str(text).map_err(LineError::Syntax)?;
         match (line.operation.as_ref(), self.now) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Writes the reply to the batch that is complete.
+    /// Writes the reply to a complete batch.
     pub fn write_reply(&mut self, reply: &mut Vec<u8>) {
         for pending in self.pending_actions.drain(..) {
             let name = &self.instances[pending.instance_index].name;
@@ -110,18 +110,18 @@
         Ok(())
     }
 
-    /// Starts an instance, in place of an earlier one of its name.
+    /// Starts an instance, replacing any earlier instance of the same name.
     fn spawn(&mut self, now: Timestamp, name: &str, line: InputLine) -> Result<(), MessageError> {
         let seed = required(line.seed, "Prng")?;
         let settings = required(line.settings, "Conf")?.placement_settings()?;
-        let index = self.instance_index(name);
+        let index = self.get_or_insert_index(name);
         self.instances[index].balancer = Some(Balancer::new(settings, seed));
         self.deliver(now, index, Event::Start);
         Ok(())
     }
 
-    /// The index of the instance of this name, which is added if it is new.
-    fn instance_index(&mut self, name: &str) -> usize {
+    /// Returns the index of the instance with this name, adding it if there is none.
+    fn get_or_insert_index(&mut self, name: &str) -> usize {
         if let Some(index) = self.instance_indices.get(name) {
             return *index;
         }
@@ -135,7 +135,7 @@
     }
 
     fn tear_down(&mut self, index: usize) {
-        // What the instance still wanted must not be said in the name of its successor.
+        // Pending actions of the instance must not be attributed to a successor of the same name.
         self.pending_actions
             .retain(|pending| pending.instance_index != index);
         self.instances[index].balancer = None;
--- a/crates/adapter/src/input.rs
+++ b/crates/adapter/src/input.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator's protocol, read into events.
+//! Parses lines of the external simulator's protocol into placement events.
 
 use crate::error::MessageError;
 use lupincrank_placement::{
@@ -9,29 +9,29 @@
 use std::borrow::Cow;
 use std::time::Duration;
 
-/// The number of hexadecimal digits of a request's identifier.
+/// Number of hexadecimal digits of a request identifier.
 const REQUEST_ID_LENGTH: usize = 16;
 
-/// Loads of this many nanoseconds per second and more are not believed.
+/// Upper bound for expected loads, in nanoseconds per second. Loads from here on are ignored as implausible.
 const MAX_LOAD_NS: f64 = 1e18;
 
-/// Observed values of this size and more are not believed.
+/// Upper bound for observed values. Values from here on are implausible and count as 0.
 const MAX_OBSERVED_VALUE: f64 = 1e12;
 
-/// Unit of an observed load: millionths of a standard core.
+/// Units of an observed load, millionths of a standard core, per core.
 const LOAD_UNITS_PER_CORE: f64 = 1e6;
 
-/// Unit of an observed latency: milliseconds.
+/// Units of an observed delay, milliseconds, per second.
 const DELAY_UNITS_PER_SECOND: f64 = 1e3;
 
-/// One line of any operation; which fields it needs depends on `operation`.
+/// A line of any operation. The required fields depend on `operation`.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Line")]
 pub struct InputLine<'a> {
-    /// What the line tells.
+    /// The operation of the line.
     #[serde(rename = "op", borrow)]
     pub operation: Cow<'a, str>,
-    /// The name of the instance to which it is told.
+    /// The name of the instance that receives the message.
     #[serde(rename = "Who", borrow)]
     pub instance: Option<Cow<'a, str>>,
     /// The time of a batch.
@@ -125,11 +125,11 @@
 }
 
 impl InputLine<'_> {
-    /// The event that the line tells; `None` for one that the balancer has no use for.
+    /// Converts the line into an event; `None` if the balancer ignores it.
     ///
     /// # Errors
     ///
-    /// If a field that the operation needs is absent or wrong, or the operation is unknown.
+    /// If a required field is missing or invalid, or if the operation is unknown.
     pub fn into_event(self) -> Result<Option<Event>, MessageError> {
         let event = match self.operation.as_ref() {
             "UPDATE" => self.endpoint_update()?,
@@ -211,12 +211,12 @@
         })
     }
 
-    /// A measurement on an established connection: a load in millionths of a core, or a message's latency in milliseconds.
+    /// An observation of an established connection: its load in millionths of a core, or a message delay in milliseconds.
     fn observation(self) -> Result<Option<Event>, MessageError> {
         let request = request_id(self.request)?;
-        let told = required(self.value, "Value")?;
-        let is_plausible = (0.0..MAX_OBSERVED_VALUE).contains(&told);
-        let value = if is_plausible { told } else { 0.0 };
+        let reported = required(self.value, "Value")?;
+        let is_plausible = (0.0..MAX_OBSERVED_VALUE).contains(&reported);
+        let value = if is_plausible { reported } else { 0.0 };
         Ok(match required(self.kind, "Kind")? {
             1 => Some(Event::LoadObserved {
                 request,
@@ -230,7 +230,7 @@
         })
     }
 
-    /// A timer that no balancer sets is ignored.
+    /// A timer that expired. Handles that no balancer sets are ignored.
     fn timer_fired(self) -> Result<Option<Event>, MessageError> {
         let handle = required(self.timer_handle, "Handle")?;
         Ok(Timer::from_handle(handle).map(Event::TimerFired))
@@ -245,11 +245,11 @@
     }
 }
 
-/// The value of a field that the operation needs.
+/// Returns the value of a required field.
 ///
 /// # Errors
 ///
-/// If it is absent; the error names `field`.
+/// If the field is missing; the error names `field`.
 pub fn required<T>(value: Option<T>, field: &'static str) -> Result<T, MessageError> {
     value.ok_or(MessageError::Missing { field })
 }
@@ -285,7 +285,7 @@
 
 fn request_id(text: Option<Cow<str>>) -> Result<RequestId, MessageError> {
     let text = required(text, "Req")?;
-    // `from_str_radix` alone would take a sign and capital letters as well.
+    // `from_str_radix` alone would also accept a sign and uppercase letters.
     let is_lowercase_hex = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     let is_well_formed = text.len() == REQUEST_ID_LENGTH && text.bytes().all(is_lowercase_hex);
     match u64::from_str_radix(&text, 16) {
@@ -301,7 +301,7 @@
     Ok(ServerId::from(name.as_ref()))
 }
 
-/// The values of a load report; those that are null are zero.
+/// Returns the values of a load report, with 0 for null.
 fn load_report(values: Option<Vec<Option<f64>>>) -> Option<Vec<f64>> {
     let values = values?;
     Some(values.into_iter().map(Option::unwrap_or_default).collect())
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Hosts any number of balancers on the simulator's line protocol: events on standard input, actions on standard output.
+//! Hosts any number of balancers for an external simulator over a line protocol: events on standard input, actions on
+//! standard output.
 //!
-//! The input is a sequence of batches, each from a `TICK` line to an `EOB` line, with one JSON object a line. Each batch is
-//! answered with the actions that its events caused and a `YIELD` line. The program ends with the input, or with an error
-//! at the first line that it cannot understand.
+//! The input is a sequence of batches, each from a `TICK` line to an `EOB` line, with one JSON object per line. The reply to
+//! a batch is the actions that its events caused, followed by a `YIELD` line. The program ends at the end of the input, or
+//! with an error at the first invalid line.
 
 #![forbid(unsafe_code)]
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Replies to batches until the end of the input.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = String::new();
@@ -49,7 +50,7 @@
         if state == BatchState::Complete {
             reply.clear();
             host.write_reply(&mut reply);
-            send(output, &reply)?;
+            write_and_flush(output, &reply)?;
         }
     }
     if host.is_inside_batch() {
@@ -58,7 +59,7 @@
     Ok(())
 }
 
-fn send(output: &mut impl Write, reply: &[u8]) -> Result<(), AdapterError> {
+fn write_and_flush(output: &mut impl Write, reply: &[u8]) -> Result<(), AdapterError> {
     output.write_all(reply).map_err(AdapterError::Write)?;
     output.flush().map_err(AdapterError::Write)
 }
--- a/crates/adapter/src/output.rs
+++ b/crates/adapter/src/output.rs
@@ -1,15 +1,15 @@
-//! Actions as lines of the simulator's protocol.
+//! Formats actions as lines of the external simulator's protocol.
 
 use lupincrank_placement::{Action, RequestId};
 use std::fmt::Display;
 use std::io::Write;
 
-/// Ends the reply to a batch.
+/// Appends the line that ends the reply to a batch.
 pub fn write_end_of_reply(reply: &mut Vec<u8>) {
     reply.extend_from_slice(b"{\"op\":\"YIELD\"}\n");
 }
 
-/// Appends an action of the named instance.
+/// Appends an action of the instance with the given name.
 pub fn write_action(reply: &mut Vec<u8>, instance: &str, action: Action) {
     let who = json_string(instance);
     let written = match action {
@@ -66,12 +66,12 @@
     debug_assert!(written.is_ok(), "writing to memory cannot fail");
 }
 
-/// The text as a JSON string, quoted and escaped.
+/// Returns the text as a JSON string, quoted and escaped.
 fn json_string(text: &str) -> impl Display {
     serde_json::Value::from(text)
 }
 
-/// The identifier as a JSON string of 16 hexadecimal digits.
+/// Returns the identifier as a JSON string of 16 hexadecimal digits.
 fn request_id(request: RequestId) -> impl Display {
     format!("\"{:016x}\"", request.0)
 }
--- a/crates/adapter/tests/transcripts.rs
+++ b/crates/adapter/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! The adapter end to end, over transcripts written by hand.
+//! End-to-end tests that run the adapter on complete protocol transcripts.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -22,7 +22,8 @@
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
     let input = input.to_string();
-    // Written from a thread: a long reply would otherwise block both sides. The adapter may stop at a bad line.
+    // The input is written from a separate thread, as a long reply would otherwise block both sides. Write errors are
+    // ignored, as the adapter exits at an invalid line.
     let writer = std::thread::spawn(move || {
         let _ = stdin.write_all(input.as_bytes());
     });
@@ -47,7 +48,7 @@
     format!("{{\"op\":\"SPAWN\",\"Who\":\"{who}\",\"Prng\":{seed},\"Conf\":{SETTINGS}}}\n")
 }
 
-fn list(who: &str, kind: u32) -> String {
+fn endpoint_list(who: &str, kind: u32) -> String {
     format!(
         concat!(
             r#"{{"op":"UPDATE","Who":"{}","Kind":{},"Generation":41,"NodesList":["#,
@@ -81,7 +82,7 @@
 
 #[test]
 fn a_rejected_request_is_retried_on_the_other_server_and_then_rejected() {
-    let input = batch(1_000, &[spawn("proxy-0", 7), list("proxy-0", 2)])
+    let input = batch(1_000, &[spawn("proxy-0", 7), endpoint_list("proxy-0", 2)])
         + &batch(2_000, &[accept("proxy-0", REQUEST)])
         + &batch(3_000, &[completed("proxy-0", REQUEST, 0, 3)])
         + &batch(4_000, &[completed("proxy-0", REQUEST, 1, 5)])
@@ -91,14 +92,14 @@
     let replies: Vec<&str> = out.split("{\"op\":\"YIELD\"}\n").collect();
     assert_eq!(replies.len(), 6);
     assert!(replies[0].contains("\"op\":\"SUBSCRIBE\"") && replies[0].contains("\"op\":\"DEFER\""));
-    let issued = |reply: &str| {
+    let issued_servers = |reply: &str| {
         ["10.18.74.7:9003", "10.144.17.242:9044"].map(|server| reply.contains(server))
     };
     assert!(replies[1].contains(&format!(
         "\"op\":\"ISSUE\",\"Who\":\"proxy-0\",\"Req\":\"{REQUEST}\""
     )));
     assert!(replies[2].contains("\"op\":\"ISSUE\""));
-    assert_ne!(issued(replies[1]), issued(replies[2]));
+    assert_ne!(issued_servers(replies[1]), issued_servers(replies[2]));
     assert!(replies[3].contains(&format!(
         "\"op\":\"NOT_NOW\",\"Who\":\"proxy-0\",\"Req\":\"{REQUEST}\""
     )));
@@ -107,15 +108,15 @@
 
 #[test]
 fn an_instance_torn_down_within_a_batch_sends_no_actions_and_its_successor_starts_clean() {
-    let stop = "{\"op\":\"TEARDOWN\",\"Who\":\"proxy-0\"}\n".to_string();
-    let input = batch(1_000, &[spawn("proxy-0", 7), list("proxy-0", 2)])
+    let teardown = "{\"op\":\"TEARDOWN\",\"Who\":\"proxy-0\"}\n".to_string();
+    let input = batch(1_000, &[spawn("proxy-0", 7), endpoint_list("proxy-0", 2)])
         + &batch(
             2_000,
             &[
                 accept("proxy-0", REQUEST),
-                stop,
+                teardown,
                 spawn("proxy-0", 8),
-                list("proxy-0", 2),
+                endpoint_list("proxy-0", 2),
             ],
         );
     let (ok, out, error) = run(&input);
@@ -129,11 +130,11 @@
 
 #[test]
 fn instances_of_one_process_act_as_in_processes_of_their_own() {
-    let day = |names: &[&str]| {
+    let run_instances = |names: &[&str]| {
         let lines =
-            |part: &dyn Fn(&str) -> String| names.iter().map(|name| part(name)).collect::<Vec<_>>();
+            |line: &dyn Fn(&str) -> String| names.iter().map(|name| line(name)).collect::<Vec<_>>();
         let mut input = batch(1_000, &lines(&|who| spawn(who, 7)));
-        input += &batch(1_000, &lines(&|who| list(who, 1)));
+        input += &batch(1_000, &lines(&|who| endpoint_list(who, 1)));
         for n in 0..200u64 {
             let req = format!("{n:016x}");
             input += &batch(2_000 + n, &lines(&|who| accept(who, &req)));
@@ -146,17 +147,17 @@
         assert!(ok, "{error}");
         out
     };
-    let own = |name: &str, out: &str| {
+    let replies_of = |name: &str, out: &str| {
         out.lines()
             .filter(|line| line.contains(name))
             .map(String::from)
             .collect::<Vec<String>>()
     };
-    let together = day(&["proxy-0", "proxy-1"]);
+    let together = run_instances(&["proxy-0", "proxy-1"]);
     for name in ["proxy-0", "proxy-1"] {
-        let alone = own(name, &day(&[name]));
+        let alone = replies_of(name, &run_instances(&[name]));
         assert!(alone.len() > 200);
-        assert_eq!(alone, own(name, &together));
+        assert_eq!(alone, replies_of(name, &together));
     }
 }
 
@@ -169,24 +170,30 @@
 #[test]
 fn invalid_input_is_named_and_ends_the_program_without_a_panic() {
     let start = batch(1_000, &[spawn("proxy-0", 7)]);
-    let with = |text: &str| start.clone() + &batch(2, &[format!("{text}\n")]);
+    let after_start = |text: &str| start.clone() + &batch(2, &[format!("{text}\n")]);
     let cases = [
         ("nonsense\n".to_string(), "not a message"),
         ("{\"op\":\"TICK\"}\n".into(), "SimTimeNs is missing"),
         ("{\"op\":\"EOB\"}\n".into(), "outside a batch"),
         (batch(2, &[accept("proxy-0", REQUEST)]), "never spawned"),
         (
-            with("{\"op\":\"FROBNICATE\",\"Who\":\"proxy-0\"}"),
+            after_start("{\"op\":\"FROBNICATE\",\"Who\":\"proxy-0\"}"),
             "unknown op",
         ),
         (
-            with("{\"op\":\"WAKEUP\",\"Who\":\"proxy-0\"}"),
+            after_start("{\"op\":\"WAKEUP\",\"Who\":\"proxy-0\"}"),
             "Handle is missing",
         ),
-        (with("{\"op\":\"WAKEUP\",\"Handle\":1}"), "Who is missing"),
-        (with(accept("proxy-0", "xyz").trim()), "16 hex digits"),
         (
-            with(completed("proxy-0", REQUEST, 0, 77).trim()),
+            after_start("{\"op\":\"WAKEUP\",\"Handle\":1}"),
+            "Who is missing",
+        ),
+        (
+            after_start(accept("proxy-0", "xyz").trim()),
+            "16 hex digits",
+        ),
+        (
+            after_start(completed("proxy-0", REQUEST, 0, 77).trim()),
             "unknown code 77",
         ),
         (
--- a/crates/simulator/src/cli/commands.rs
+++ b/crates/simulator/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! The commands: each reads its files, plays, prints and writes its results.
+//! The commands. Each reads its input files, runs simulations or measurements, and prints and writes the results.
 
 use super::error::CommandError;
 use super::options::Command;
@@ -10,20 +10,20 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// Policies that a search compares the module with.
+/// Policies with which a search compares the placement module.
 const SEARCH_BASELINES: [PolicyName; 3] = [
     PolicyName::Plain,
     PolicyName::TwoChoices,
     PolicyName::LeastLoaded,
 ];
-/// Fleet sizes whose costs are measured.
+/// Fleet sizes for which the cost is measured.
 const COST_SIZES: [u32; 8] = [10, 30, 60, 100, 300, 1_000, 3_000, 10_000];
-/// Violation rules that a run prints with their traces.
-const PRINTED_VIOLATIONS: usize = 3;
-/// Rows of the paper's comparison for each size: two forms of keys by two methods.
-const PAPER_ROWS_PER_SIZE: usize = 4;
+/// Maximum number of rule violations that a run prints with their traces.
+const MAX_PRINTED_VIOLATIONS: usize = 3;
+/// Rows of the paper's comparison per server count: two key formats times two methods.
+const PAPER_ROWS_PER_SERVER_COUNT: usize = 4;
 
-/// Carries out a command.
+/// Executes a command.
 pub(crate) fn execute(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Check { files } => check(&files),
@@ -51,7 +51,7 @@
             days,
             out,
             file,
-        } => search_worst_day(seed, days, out.as_deref(), &file),
+        } => search_worst_scenario(seed, days, out.as_deref(), &file),
         Command::Replay { file } => replay(&file),
         Command::Plot { figure, out, file } => plot_results(&figure, &out, &file),
         Command::Paper {
@@ -59,7 +59,7 @@
             sets,
             seed,
             json,
-        } => repeat_paper(keys, sets, seed, json.as_deref()),
+        } => repeat_paper_comparison(keys, sets, seed, json.as_deref()),
         Command::Cost { json } => measure_cost(json.as_deref()),
     }
 }
@@ -83,15 +83,16 @@
     file: &Path,
 ) -> Result<(), CommandError> {
     let scenario = read_scenario(file)?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let outcome = world::play(&scenario, seed, policy);
-    let elapsed_s = begun.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     print_summary(&outcome, elapsed_s);
     print_violations(&outcome);
     write_json(json, &outcome)
 }
 
-/// Prints the summary with the machine's own time, which is for people only: results are the same on every machine.
+/// Prints a summary with the real time that the run took. This time is not part of the results, which are the same on
+/// every machine.
 fn print_summary(outcome: &Outcome, elapsed_s: f64) {
     eprintln!(
         "{} under {}: service {:.3}, {} events in {elapsed_s:.2} s ({:.0} a second), at most {} waiting",
@@ -105,12 +106,12 @@
 }
 
 fn print_violations(outcome: &Outcome) {
-    for broken in outcome.rules_broken.iter().take(PRINTED_VIOLATIONS) {
+    for violation in outcome.rules_broken.iter().take(MAX_PRINTED_VIOLATIONS) {
         eprintln!(
             "rule broken, {:?} at {:.3} s: {}",
-            broken.rule, broken.at_s, broken.what
+            violation.rule, violation.at_s, violation.what
         );
-        for line in &broken.trace {
+        for line in &violation.trace {
             eprintln!("    {line}");
         }
     }
@@ -124,12 +125,12 @@
 ) -> Result<(), CommandError> {
     let scenario = read_scenario(file)?;
     let bar = progress_bar(seeds * policies.len() as u64);
-    let sides = compare::compare(&scenario, policies, 1..seeds + 1, || bar.inc(1));
+    let results = compare::compare(&scenario, policies, 1..seeds + 1, || bar.inc(1));
     bar.finish_and_clear();
     if !is_standard_output(json) {
-        print!("{}", compare::table(&sides));
+        print!("{}", compare::table(&results));
     }
-    write_json(json, &serde_json::json!({ "compare": sides }))
+    write_json(json, &serde_json::json!({ "compare": results }))
 }
 
 fn sweep_grid(
@@ -152,7 +153,7 @@
     write_json(json, &serde_json::json!({ "sweep": rows }))
 }
 
-fn search_worst_day(
+fn search_worst_scenario(
     seed: u64,
     days: u64,
     out: Option<&Path>,
@@ -162,14 +163,14 @@
     let bar = progress_bar(days);
     let worst = search::find_worst(&scenario, seed, days, &SEARCH_BASELINES, || bar.inc(1));
     bar.finish_and_clear();
-    let worst = worst.ok_or(CommandError::NoDaySearched)?;
+    let worst = worst.ok_or(CommandError::NoCandidates)?;
     println!(
         "worst of {days} days: {}, behind by {:.3}",
         worst.scenario.name, worst.gap
     );
-    let small = search::shrink(worst, &SEARCH_BASELINES);
-    print_shrunk_day(&small)?;
-    let text = toml::to_string(&small.scenario)?;
+    let simplified = search::simplify(worst, &SEARCH_BASELINES);
+    print_simplified(&simplified)?;
+    let text = toml::to_string(&simplified.scenario)?;
     let Some(out) = out else {
         print!("{text}");
         return Ok(());
@@ -177,9 +178,12 @@
     std::fs::write(out, text).map_err(CommandError::writing(out))
 }
 
-fn print_shrunk_day(day: &search::Candidate) -> Result<(), CommandError> {
-    let scenario = &day.scenario;
-    let found = scenario.found.as_ref().ok_or(CommandError::NoFigures)?;
+fn print_simplified(candidate: &search::Candidate) -> Result<(), CommandError> {
+    let scenario = &candidate.scenario;
+    let found = scenario
+        .found
+        .as_ref()
+        .ok_or(CommandError::MissingSearchRecord)?;
     println!(
         "made small: {} transcribers, {} nodes, {:.0} s, {} troubles; module {:.3}, {} {:.3}",
         scenario.fleet.transcribers,
@@ -206,14 +210,14 @@
                 source,
             })?;
     let replayed = search::evaluate(scenario, found.seed, &[baseline]);
-    let played = replayed.scenario.found.ok_or_else(not_saved)?;
+    let replayed_record = replayed.scenario.found.ok_or_else(not_saved)?;
     println!(
         "module: {:.4} now, {:.4} when it was found",
-        played.service, found.service
+        replayed_record.service, found.service
     );
     println!(
         "{}: {:.4} now, {:.4} when it was found",
-        found.against, played.against_service, found.against_service
+        found.against, replayed_record.against_service, found.against_service
     );
     Ok(())
 }
@@ -229,14 +233,14 @@
     std::fs::write(out, svg).map_err(CommandError::writing(out))
 }
 
-fn repeat_paper(
+fn repeat_paper_comparison(
     keys: usize,
     sets: u64,
     seed: u64,
     json: Option<&Path>,
 ) -> Result<(), CommandError> {
-    let bar = progress_bar((PAPER_ROWS_PER_SIZE * paper::SIZES.len()) as u64);
-    let rows = paper::repeat(keys.max(1), sets.max(1), seed, || bar.inc(1));
+    let bar = progress_bar((PAPER_ROWS_PER_SERVER_COUNT * paper::SERVER_COUNTS.len()) as u64);
+    let rows = paper::run_comparison(keys.max(1), sets.max(1), seed, || bar.inc(1));
     bar.finish_and_clear();
     print!("{}", paper::table(&rows));
     write_json(json, &serde_json::json!({ "paper": rows }))
--- a/crates/simulator/src/cli/error.rs
+++ b/crates/simulator/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the commands.
+//! The errors of the commands.
 
 use lupincrank_simulator::plot::PlotError;
 use lupincrank_simulator::policy::UnknownPolicy;
@@ -9,41 +9,41 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// A scenario cannot be read or does not hold; one line for each finding.
-    #[error("{}", lines(.0))]
+    /// A scenario cannot be read or is invalid. The message has one line per error.
+    #[error("{}", join_lines(.0))]
     InvalidScenario(Vec<ScenarioError>),
     /// A file cannot be read.
-    #[error("{}: cannot read: {source}", path.display())]
+    #[error("{}: cannot read file: {source}", path.display())]
     Read {
         path: PathBuf,
         source: std::io::Error,
     },
     /// A file cannot be written.
-    #[error("{}: cannot write: {source}", path.display())]
+    #[error("{}: cannot write file: {source}", path.display())]
     Write {
         path: PathBuf,
         source: std::io::Error,
     },
-    /// Results cannot be written as JSON.
+    /// Results cannot be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A scenario cannot be written as TOML.
+    /// A scenario cannot be serialized as TOML.
     #[error(transparent)]
     Toml(#[from] toml::ser::Error),
-    /// A file to plot holds no results.
-    #[error("{}: these are not results of run, sweep, paper or cost", .0.display())]
+    /// A file to plot contains no results.
+    #[error("{}: file contains no results of run, sweep, paper or cost", .0.display())]
     NotResults(PathBuf),
     /// Results cannot be plotted.
     #[error("{}: {source}", path.display())]
     Plot { path: PathBuf, source: PlotError },
-    /// A search of no days has no worst one.
-    #[error("no day was searched")]
-    NoDaySearched,
-    /// A judged day lacks the figures of its runs.
-    #[error("a judged day has its figures")]
-    NoFigures,
+    /// A search was run with no candidates.
+    #[error("search needs at least one candidate: --days is 0")]
+    NoCandidates,
+    /// A candidate of a search lacks the results of its runs.
+    #[error("search candidate has no results")]
+    MissingSearchRecord,
     /// A scenario to replay was not saved by `hunt`.
-    #[error("{}: found: this scenario was not saved by hunt", .0.display())]
+    #[error("{}: scenario has no section `found`: it was not saved by hunt", .0.display())]
     NotSavedByHunt(PathBuf),
     /// A scenario to replay names a policy that does not exist.
     #[error("{}: found.against: {source}", path.display())]
@@ -54,7 +54,7 @@
 }
 
 impl CommandError {
-    /// Returns a conversion for errors of reading `path`.
+    /// Returns a function that converts an I/O error of reading `path`.
     pub(crate) fn reading(path: &Path) -> impl FnOnce(std::io::Error) -> Self + '_ {
         |source| CommandError::Read {
             path: path.to_path_buf(),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns a conversion for errors of writing `path`.
+    /// Returns a function that converts an I/O error of writing `path`.
     pub(crate) fn writing(path: &Path) -> impl FnOnce(std::io::Error) -> Self + '_ {
         |source| CommandError::Write {
             path: path.to_path_buf(),
@@ -71,7 +71,7 @@
     }
 }
 
-fn lines(findings: &[ScenarioError]) -> String {
-    let lines: Vec<String> = findings.iter().map(ScenarioError::to_string).collect();
+fn join_lines(errors: &[ScenarioError]) -> String {
+    let lines: Vec<String> = errors.iter().map(ScenarioError::to_string).collect();
     lines.join("\n")
 }
--- a/crates/simulator/src/cli/mod.rs
+++ b/crates/simulator/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the simulator: parsing, the commands and their errors.
+//! The command line of the simulator: options, commands and their errors.
 
 mod commands;
 mod error;
--- a/crates/simulator/src/cli/options.rs
+++ b/crates/simulator/src/cli/options.rs
@@ -1,4 +1,4 @@
-//! The command line: commands, their arguments and their parsers.
+//! The commands, their arguments and the command line parsers.
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use lupincrank_simulator::experiments::sweep;
@@ -69,13 +69,13 @@
     construct!([check, run, compare, sweep, hunt, replay, plot, paper, cost])
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
-        .descr("Plays the service in simulated time with the decisions that serve")
+        .descr("Simulates the balancing service with its placement code")
 }
 
 fn check_command() -> impl Parser<Command> {
     let files = positional::<PathBuf>("FILE")
-        .help("Scenarios")
-        .some("name at least one scenario");
+        .help("Scenario files")
+        .some("expected at least one scenario file");
     construct!(Command::Check { files })
         .to_options()
         .descr("Check scenario files")
@@ -84,7 +84,7 @@
 
 fn run_command() -> impl Parser<Command> {
     let (seed, json, file) = (seed(), json(), scenario_file());
-    let policy = long("policy").help("module, random, plain, two-choices or least-loaded");
+    let policy = long("policy").help("Policy: module, random, plain, two-choices or least-loaded");
     let policy = policy
         .argument::<PolicyName>("NAME")
         .fallback(PolicyName::Module);
@@ -95,15 +95,14 @@
         file
     })
     .to_options()
-    .descr("Play one scenario")
+    .descr("Simulate one scenario")
     .command("run")
 }
 
 fn compare_command() -> impl Parser<Command> {
     let (seeds, json, file) = (seeds(), json(), scenario_file());
     let policies = policies(&PolicyName::ALL);
-    let descr =
-        "Policies side by side on the same arrivals; the first is the one that others are held against";
+    let descr = "Compare policies on the same arrivals; differences are to the first policy";
     construct!(Command::Compare {
         seeds,
         policies,
@@ -116,13 +115,14 @@
 }
 
 fn sweep_command() -> impl Parser<Command> {
-    let axes = long("set").help("A key of the scenario and its values: nodes.count=1,2,4");
+    let axes =
+        long("set").help("Key of the scenario and its values, for example nodes.count=1,2,4");
     let axes = axes
         .argument::<sweep::Axis>("KEY=VALUES")
-        .some("name what to sweep with --set");
+        .some("expected at least one --set KEY=VALUES");
     let (seeds, json, file) = (seeds(), json(), scenario_file());
     let policies = policies(&[PolicyName::Module]);
-    let descr = "A grid over any values of a scenario";
+    let descr = "Sweep values of a scenario over a grid";
     construct!(Command::Sweep {
         axes,
         seeds,
@@ -138,15 +138,16 @@
 fn hunt_command() -> impl Parser<Command> {
     let (seed, file) = (seed(), scenario_file());
     let days = long("days")
-        .help("How many days to search")
+        .help("Number of candidate scenarios to search")
         .argument::<u64>("N")
         .fallback(200)
         .display_fallback();
     let out = long("out")
-        .help("Save the worst day, made small, here")
+        .help("File for the worst scenario, simplified")
         .argument::<PathBuf>("FILE")
         .optional();
-    let descr = "Search seeds and troubles for the module's worst day, and shrink it";
+    let descr =
+        "Search seeds and faults for the worst scenario of the placement module, and simplify it";
     construct!(Command::Hunt {
         seed,
         days,
@@ -162,39 +163,40 @@
     let file = scenario_file();
     construct!(Command::Replay { file })
         .to_options()
-        .descr("Play a saved day again")
+        .descr("Replay a scenario saved by hunt")
         .command("replay")
 }
 
 fn plot_command() -> impl Parser<Command> {
     let figure = long("figure")
-        .help("A sweep's figure")
+        .help("Metric of a sweep to plot")
         .argument::<String>("NAME");
     let figure = figure.fallback("service".into()).display_fallback();
     let out = long("out")
-        .help("The SVG to write")
+        .help("SVG file to write")
         .argument::<PathBuf>("FILE");
-    let file =
-        positional::<PathBuf>("FILE").help("What run, sweep, paper or cost wrote with --json");
+    let file = positional::<PathBuf>("FILE")
+        .help("Results that run, sweep, paper or cost wrote with --json");
     construct!(Command::Plot { figure, out, file })
         .to_options()
-        .descr("Draw results as SVG")
+        .descr("Plot results as SVG")
         .command("plot")
 }
 
 fn paper_command() -> impl Parser<Command> {
     let keys = long("keys")
-        .help("Keys")
+        .help("Number of keys")
         .argument::<usize>("N")
         .fallback(1_000_000)
         .display_fallback();
     let sets = long("sets")
-        .help("Sets of servers")
+        .help("Number of random server sets per server count")
         .argument::<u64>("N")
         .fallback(8)
         .display_fallback();
     let (seed, json) = (seed(), json());
-    let descr = "Repeat the paper's comparison of the product score with hashing each pair anew";
+    let descr =
+        "Repeat the paper's comparison of the product score with a hash per pair of server and key";
     construct!(Command::Paper {
         keys,
         sets,
@@ -208,7 +210,8 @@
 
 fn cost_command() -> impl Parser<Command> {
     let json = json();
-    let descr = "What the module's work costs from 10 to 10,000 transcribers, on this machine";
+    let descr =
+        "Measure the CPU cost of the placement module with 10 to 10,000 servers on this machine";
     construct!(Command::Cost { json })
         .to_options()
         .descr(descr)
@@ -217,43 +220,44 @@
 
 fn seed() -> impl Parser<u64> {
     long("seed")
-        .help("Seed of all random numbers")
+        .help("Seed of the random number generators")
         .argument::<u64>("N")
         .fallback(1)
         .display_fallback()
 }
 
 fn seeds() -> impl Parser<u64> {
-    let help = "How many seeds, from 1 on";
-    let some = |count: &u64| (1..=10_000).contains(count);
+    let help = "Number of seeds, starting at 1";
+    let is_in_range = |count: &u64| (1..=10_000).contains(count);
     long("seeds")
         .help(help)
         .argument::<u64>("N")
-        .guard(some, "1 to 10000 seeds")
+        .guard(is_in_range, "number of seeds must be from 1 to 10000")
         .fallback(10)
         .display_fallback()
 }
 
 fn json() -> impl Parser<Option<PathBuf>> {
     long("json")
-        .help("Write the results to this file, - for standard output")
+        .help("File for the results as JSON, - for standard output")
         .argument::<PathBuf>("FILE")
         .optional()
 }
 
-fn policies(none: &'static [PolicyName]) -> impl Parser<Vec<PolicyName>> {
+/// Parses repeated `--policy` options, with `default` if there are none.
+fn policies(default: &'static [PolicyName]) -> impl Parser<Vec<PolicyName>> {
     let policy = long("policy")
-        .help("A policy; may be given again")
+        .help("Policy; may be given more than once")
         .argument::<PolicyName>("NAME");
-    policy.many().map(|named| {
-        if named.is_empty() {
-            none.to_vec()
+    policy.many().map(|names| {
+        if names.is_empty() {
+            default.to_vec()
         } else {
-            named
+            names
         }
     })
 }
 
 fn scenario_file() -> impl Parser<PathBuf> {
-    positional::<PathBuf>("FILE").help("A scenario, TOML")
+    positional::<PathBuf>("FILE").help("Scenario file, TOML")
 }
--- a/crates/simulator/src/experiments/compare.rs
+++ b/crates/simulator/src/experiments/compare.rs
@@ -1,6 +1,6 @@
-//! Policies side by side on the same arrivals, with confidence intervals of the paired differences.
+//! Compares policies on the same arrivals, with confidence intervals of the paired differences.
 
-use super::{Estimate, Figures};
+use super::{Estimate, KeyMetrics};
 use crate::policy::PolicyName;
 use crate::scenario::Scenario;
 use crate::world::play;
@@ -8,22 +8,23 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// One policy's part of a comparison.
+/// The results of one policy in a comparison.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyResult {
     /// The policy.
     pub policy: String,
-    /// Whether it sees what no node can.
+    /// Whether the policy uses state that no real node can see.
     pub upper_bound: bool,
-    /// Each figure's mean over the seeds.
+    /// The mean of each metric over the seeds.
     pub means: Vec<(String, Estimate)>,
-    /// Its difference to the first policy on the same seeds.
+    /// The mean difference of each metric to the first policy on the same seeds.
     pub differences: Vec<(String, Estimate)>,
-    /// The figures of each seed.
-    pub runs: Vec<Figures>,
+    /// The metrics of each seed's run.
+    pub runs: Vec<KeyMetrics>,
 }
 
-/// Plays every policy on every seed; `done` is called after each run. The result does not depend on the threads.
+/// Simulates every policy on every seed and calls `done` after each run. The result does not depend on the number of
+/// threads.
 pub fn compare(
     scenario: &Scenario,
     policies: &[PolicyName],
@@ -34,50 +35,52 @@
         .iter()
         .flat_map(|name| seeds.clone().map(move |seed| (*name, seed)))
         .collect();
-    let figures: Vec<Figures> = jobs
+    let runs: Vec<KeyMetrics> = jobs
         .par_iter()
         .map(|(name, seed)| {
-            let figures = Figures::of(&play(scenario, *seed, *name));
+            let metrics = KeyMetrics::of(&play(scenario, *seed, *name));
             done();
-            figures
+            metrics
         })
         .collect();
-    let each = (seeds.end - seeds.start) as usize;
-    let first = &figures[..each.min(figures.len())];
-    let side = |(name, runs): (&PolicyName, &[Figures])| PolicyResult {
+    let runs_per_policy = (seeds.end - seeds.start) as usize;
+    let first_policy = &runs[..runs_per_policy.min(runs.len())];
+    let policy_result = |(name, runs): (&PolicyName, &[KeyMetrics])| PolicyResult {
         policy: name.as_str().into(),
         upper_bound: *name == PolicyName::LeastLoaded,
-        means: columns(runs, None),
-        differences: columns(runs, Some(first)),
+        means: estimates(runs, None),
+        differences: estimates(runs, Some(first_policy)),
         runs: runs.to_vec(),
     };
     policies
         .iter()
-        .zip(figures.chunks(each.max(1)))
-        .map(side)
+        .zip(runs.chunks(runs_per_policy.max(1)))
+        .map(policy_result)
         .collect()
 }
 
-fn columns(runs: &[Figures], less: Option<&[Figures]>) -> Vec<(String, Estimate)> {
-    let value = |run: usize, column: usize| {
-        runs[run].named()[column].1 - less.map_or(0.0, |less| less[run].named()[column].1)
+/// Estimates the mean of each metric, or of its difference to `baseline` on the same seeds.
+fn estimates(runs: &[KeyMetrics], baseline: Option<&[KeyMetrics]>) -> Vec<(String, Estimate)> {
+    let value = |run: usize, metric: usize| {
+        runs[run].named()[metric].1
+            - baseline.map_or(0.0, |baseline| baseline[run].named()[metric].1)
     };
     let names = runs
         .first()
-        .map(Figures::named)
+        .map(KeyMetrics::named)
         .into_iter()
         .flatten()
         .enumerate();
     names
-        .map(|(column, (name, _))| {
-            let values: Vec<f64> = (0..runs.len()).map(|run| value(run, column)).collect();
+        .map(|(metric, (name, _))| {
+            let values: Vec<f64> = (0..runs.len()).map(|run| value(run, metric)).collect();
             (name.to_string(), Estimate::of(&values))
         })
         .collect()
 }
 
-/// The figures that the table has a column for.
-const TABLE_FIGURES: [&str; 8] = [
+/// The metrics shown in the table, one column each.
+const TABLE_METRICS: [&str; 8] = [
     "service",
     "whole",
     "worst_window",
@@ -88,25 +91,33 @@
     "broken",
 ];
 
-/// Formats the comparison as a table for people.
-pub fn table(sides: &[PolicyResult]) -> String {
+/// Formats the comparison as a text table.
+pub fn table(results: &[PolicyResult]) -> String {
     let mut text = format!("{:<14}", "policy");
-    for name in TABLE_FIGURES {
+    for name in TABLE_METRICS {
         let _ = write!(text, "{name:>18}");
     }
-    for side in sides {
-        let mark = if side.upper_bound { "*" } else { "" };
-        append_line(&mut text, &format!("{}{mark}", side.policy), &side.means);
+    for result in results {
+        let mark = if result.upper_bound { "*" } else { "" };
+        append_line(
+            &mut text,
+            &format!("{}{mark}", result.policy),
+            &result.means,
+        );
     }
-    for side in sides.iter().skip(1) {
-        append_line(&mut text, &format!("{} -", side.policy), &side.differences);
+    for result in results.iter().skip(1) {
+        append_line(
+            &mut text,
+            &format!("{} -", result.policy),
+            &result.differences,
+        );
     }
     text + "\n* sees the true state: an upper bound. Lines with - are paired differences to the first, 95% intervals.\n"
 }
 
 fn append_line(text: &mut String, title: &str, estimates: &[(String, Estimate)]) {
     let _ = write!(text, "\n{title:<14}");
-    for name in TABLE_FIGURES {
+    for name in TABLE_METRICS {
         let _ = write!(text, "{:>18}", cell(estimates, name));
     }
 }
--- a/crates/simulator/src/experiments/cost.rs
+++ b/crates/simulator/src/experiments/cost.rs
@@ -1,5 +1,5 @@
-//! What the module's work costs against the size of the fleet. It reads the machine's clock, so its figures are of
-//! the machine and never enter a simulated world.
+//! Measures the CPU cost of the placement module by fleet size. The measurements use the real clock and depend on the
+//! machine, so they never enter a simulation.
 
 use lupincrank_placement::{
     Action, Balancer, Class, Endpoint, Event, Health, Outcome, RequestId, RequestInfo, RetrySafety,
@@ -8,26 +8,26 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// What it costs at one size.
+/// The cost of the placement module for one fleet size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Transcribers.
+    /// Number of servers.
     pub transcribers: u32,
-    /// A request that one of the first in order takes, in microseconds.
+    /// Time of a request that one of the top-ranked servers accepts, in microseconds.
     pub request_us: f64,
-    /// A request that none of the first takes, in microseconds.
+    /// Time of a request that scans all servers as none accepts it, in microseconds.
     pub walk_us: f64,
-    /// One upkeep with 20 connections a transcriber, 20,000 at the most, in milliseconds.
+    /// Time of one upkeep with 20 connections per server, at most 20,000 in all, in milliseconds.
     pub upkeep_ms: f64,
 }
 
 fn settings() -> Settings {
-    let span = Duration::from_millis;
+    let millis = Duration::from_millis;
     Settings {
         node_count: 4,
         classes: vec![Class {
-            setup_objective: span(500),
-            message_objective: span(100),
+            setup_objective: millis(500),
+            message_objective: millis(100),
             retry_safety: RetrySafety::Idempotent,
         }],
         tenants: Vec::new(),
@@ -37,32 +37,33 @@
         health_check_cost: 0.0,
         utilization_field: None,
         requires_endpoint_watch: true,
-        drain_grace: span(500),
-        slow_start_duration: span(8_700),
+        drain_grace: millis(500),
+        slow_start_duration: millis(8_700),
         initial_capacity_ratio: 0.3,
         overload_factor: 3.0,
-        overload_window: span(3_000),
-        max_retry_after: span(2_000),
+        overload_window: millis(3_000),
+        max_retry_after: millis(2_000),
     }
 }
 
+/// A balancer with a simulated clock.
 struct Bench {
     balancer: Balancer,
     now: u64,
-    next: u64,
+    last_request: u64,
     actions: Vec<Action>,
 }
 
 impl Bench {
-    fn new(transcribers: u32) -> Self {
+    fn new(server_count: u32) -> Self {
         let mut bench = Bench {
             balancer: Balancer::new(settings(), 7),
             now: 1_000_000_000_000,
-            next: 0,
+            last_request: 0,
             actions: Vec::new(),
         };
-        let listed = |at: u32| Endpoint {
-            server: ServerId::from(format!("10.0.{at}:8000").as_str()),
+        let endpoint = |index: u32| Endpoint {
+            server: ServerId::from(format!("10.0.{index}:8000").as_str()),
             health: Health::Ready,
             weight: 1.0,
             zone: 0,
@@ -70,7 +71,7 @@
             machine_kind: 0,
             started_at: None,
         };
-        let entries = (0..transcribers).map(listed).collect();
+        let entries = (0..server_count).map(endpoint).collect();
         bench.handle(Event::Start);
         bench.handle(Event::EndpointList {
             entries,
@@ -85,31 +86,32 @@
             .handle(Timestamp(self.now), event, &mut self.actions);
     }
 
+    /// Sends a request and returns its id with the server of its first attempt, if one was started.
     fn request(&mut self) -> (RequestId, Option<ServerId>) {
-        self.next += 1;
+        self.last_request += 1;
         self.now += 1_000_000;
-        let request = RequestId(self.next);
-        let key = format!("user:{}", self.next);
+        let request = RequestId(self.last_request);
+        let key = format!("user:{}", self.last_request);
         self.handle(Event::RequestReceived(RequestInfo {
             request,
             class: 0,
             tenant: None,
-            group: Some(format!("meeting:{}", self.next / 4)),
+            group: Some(format!("meeting:{}", self.last_request / 4)),
             key: Some(key),
             load: Some(Duration::from_millis(30)),
             deadline: Timestamp(self.now + 2_000_000_000),
             is_mid_flow: false,
             is_reconnect: false,
         }));
-        let placed = self.actions.iter().find_map(|action| match action {
+        let server = self.actions.iter().find_map(|action| match action {
             Action::StartAttempt {
-                request: placed,
+                request: attempted,
                 server,
                 ..
-            } if *placed == request => Some(server.clone()),
+            } if *attempted == request => Some(server.clone()),
             _ => None,
         });
-        (request, placed)
+        (request, server)
     }
 
     fn establish(&mut self, request: RequestId) {
@@ -120,7 +122,7 @@
         });
     }
 
-    /// Ends the first attempt of a request, and the request with it.
+    /// Ends the first attempt of a request and the request itself.
     fn end(&mut self, request: RequestId, outcome: Outcome) {
         self.handle(Event::AttemptEnded {
             request,
@@ -132,20 +134,21 @@
     }
 }
 
-/// Connections that are established before requests are timed: 20 a transcriber, 20,000 at the most.
-const CONNECTIONS_PER_TRANSCRIBER: u32 = 20;
+/// Connections per server that are established before requests are timed.
+const CONNECTIONS_PER_SERVER: u32 = 20;
+/// Limit of these connections over all servers.
 const MAX_CONNECTIONS: u32 = 20_000;
-/// How often each kind of work is timed.
+/// Number of timed repetitions of each operation.
 const TIMED_REQUESTS: u32 = 2_000;
 const TIMED_UPKEEPS: u32 = 5;
-const TIMED_WALKS: u32 = 200;
-/// Rejected requests a transcriber that bring the concurrency limits down.
-const REJECTIONS_PER_TRANSCRIBER: u32 = 3;
+const TIMED_FULL_SCANS: u32 = 200;
+/// Rejected requests per server that reduce the concurrency limits.
+const REJECTIONS_PER_SERVER: u32 = 3;
 
-/// Measures one size. Bounded: at most 20,000 connections and 2,000 timed requests.
-pub fn measure(transcribers: u32) -> Cost {
-    let mut bench = Bench::new(transcribers);
-    let connections = (transcribers * CONNECTIONS_PER_TRANSCRIBER).min(MAX_CONNECTIONS);
+/// Measures the cost for one fleet size, with at most 20,000 connections and 2,000 timed requests.
+pub fn measure(server_count: u32) -> Cost {
+    let mut bench = Bench::new(server_count);
+    let connections = (server_count * CONNECTIONS_PER_SERVER).min(MAX_CONNECTIONS);
     for _ in 0..connections {
         if let (request, Some(_)) = bench.request() {
             bench.establish(request);
@@ -153,57 +156,57 @@
     }
     let request_us = request_cost_us(&mut bench);
     let upkeep_ms = upkeep_cost_ms(&mut bench);
-    let walk_us = walk_cost_us(transcribers);
+    let full_scan_us = full_scan_cost_us(server_count);
     Cost {
-        transcribers,
+        transcribers: server_count,
         request_us,
-        walk_us,
+        walk_us: full_scan_us,
         upkeep_ms,
     }
 }
 
-/// The mean time of a request that is placed at once, in microseconds.
+/// Returns the mean time of a request that is placed at once, in microseconds.
 fn request_cost_us(bench: &mut Bench) -> f64 {
-    let mut spent = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for _ in 0..TIMED_REQUESTS {
-        let begun = Instant::now();
-        let (request, placed) = bench.request();
-        spent += begun.elapsed();
-        if placed.is_some() {
+        let started_at = Instant::now();
+        let (request, server) = bench.request();
+        elapsed += started_at.elapsed();
+        if server.is_some() {
             bench.establish(request);
             bench.end(request, Outcome::Served);
         }
     }
-    spent.as_secs_f64() * 1e6 / f64::from(TIMED_REQUESTS)
+    elapsed.as_secs_f64() * 1e6 / f64::from(TIMED_REQUESTS)
 }
 
-/// The mean time of an upkeep, in milliseconds.
+/// Returns the mean time of an upkeep, in milliseconds.
 fn upkeep_cost_ms(bench: &mut Bench) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..TIMED_UPKEEPS {
         bench.now += 1_000_000_000;
         bench.handle(Event::TimerFired(Timer::Upkeep));
     }
-    begun.elapsed().as_secs_f64() * 1e3 / f64::from(TIMED_UPKEEPS)
+    started_at.elapsed().as_secs_f64() * 1e3 / f64::from(TIMED_UPKEEPS)
 }
 
-/// The mean time of a request that no transcriber admits, in microseconds: every transcriber rejects connections until
-/// its concurrency limit is down, so that each further request scans all of them.
-fn walk_cost_us(transcribers: u32) -> f64 {
-    let mut bench = Bench::new(transcribers);
-    for _ in 0..transcribers * REJECTIONS_PER_TRANSCRIBER {
+/// Returns the mean time of a request that no server admits, in microseconds. Servers first reject requests
+/// until their concurrency limits admit no more, so that every timed request scans all servers.
+fn full_scan_cost_us(server_count: u32) -> f64 {
+    let mut bench = Bench::new(server_count);
+    for _ in 0..server_count * REJECTIONS_PER_SERVER {
         if let (request, Some(_)) = bench.request() {
             bench.end(request, Outcome::Rejected);
         }
     }
-    let mut spent = Duration::ZERO;
-    for _ in 0..TIMED_WALKS {
-        let begun = Instant::now();
-        let (request, placed) = bench.request();
-        spent += begun.elapsed();
-        if placed.is_some() {
+    let mut elapsed = Duration::ZERO;
+    for _ in 0..TIMED_FULL_SCANS {
+        let started_at = Instant::now();
+        let (request, server) = bench.request();
+        elapsed += started_at.elapsed();
+        if server.is_some() {
             bench.end(request, Outcome::Rejected);
         }
     }
-    spent.as_secs_f64() * 1e6 / f64::from(TIMED_WALKS)
+    elapsed.as_secs_f64() * 1e6 / f64::from(TIMED_FULL_SCANS)
 }
--- a/crates/simulator/src/experiments/mod.rs
+++ b/crates/simulator/src/experiments/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments over many runs: comparisons on common random numbers, sweeps, the search for the worst scenario, costs.
+//! Experiments over many runs: comparisons of policies with common random numbers, parameter sweeps, the search for
+//! the worst scenario, and CPU cost measurements.
 
 pub mod compare;
 pub mod cost;
@@ -9,35 +10,35 @@
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The figures of a run that experiments compare.
+/// The metrics of a run that experiments compare.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    /// Service from 0 to 1.
+pub struct KeyMetrics {
+    /// Service score from 0 to 1.
     pub service: f64,
-    /// Share of all worth served well.
+    /// Fraction of the demand over the whole run that was served within its objectives, weighted by class.
     pub whole: f64,
-    /// ... in the worst 10 s.
+    /// The same fraction in the worst 10 s.
     pub worst_window: f64,
-    /// ... of the worst class.
+    /// The same fraction for the worst class.
     pub worst_class: f64,
-    /// Spread of load over capacity.
+    /// Relative spread of the servers' utilization.
     pub imbalance: f64,
-    /// Moves for each first try.
+    /// Migrations per first request.
     pub moves: f64,
-    /// Refusals and failures for each try.
+    /// Rejections and failures per request, retries included.
     pub refused: f64,
-    /// Set-ups at 99 percent, ms.
+    /// 99th percentile of the setup time, ms.
     pub set_up_ms: f64,
-    /// Times that a rule was broken.
+    /// Number of rule violations.
     pub broken: f64,
-    /// Events played.
+    /// Number of simulated events.
     pub events: f64,
 }
 
-impl Figures {
-    /// Returns the figures of a run.
+impl KeyMetrics {
+    /// Returns the metrics of a run.
     pub fn of(run: &Outcome) -> Self {
-        Figures {
+        KeyMetrics {
             service: run.service,
             whole: run.whole,
             worst_window: run.worst_window,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Returns the figures with their names, always in the same order.
+    /// Returns the metrics with their names, always in the same order.
     pub fn named(&self) -> [(&'static str, f64); 10] {
         [
             ("service", self.service),
@@ -68,12 +69,12 @@
     }
 }
 
-/// A mean with the half width of its 95% confidence interval.
+/// A mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
     /// The mean.
     pub mean: f64,
-    /// Half the width of the interval; infinite for a single value is written as null.
+    /// Half the width of the interval. `None`, written as null, for fewer than two values.
     pub half_width: Option<f64>,
 }
 
@@ -101,8 +102,9 @@
         }
     }
 
-    /// Returns whether zero lies outside the interval.
+    /// Returns true if zero lies outside the interval.
     pub fn beyond_noise(&self) -> bool {
-        self.half_width.is_some_and(|half| self.mean.abs() > half)
+        self.half_width
+            .is_some_and(|half_width| self.mean.abs() > half_width)
     }
 }
--- a/crates/simulator/src/experiments/search.rs
+++ b/crates/simulator/src/experiments/search.rs
@@ -1,5 +1,5 @@
-//! The search for the worst day: it tries seeds and faults for the day on which the module falls furthest behind what a plain policy
-//! or the true state reaches, then makes that day as small as it goes.
+//! Searches random faults and seeds for the scenario in which the placement module's service is furthest behind that
+//! of a baseline policy, then simplifies that scenario.
 
 use crate::policy::PolicyName;
 use crate::population::stream;
@@ -9,32 +9,32 @@
 use rand::Rng;
 use rayon::prelude::*;
 
-/// The least share of the gap that a simplified scenario keeps.
+/// Minimum fraction of the gap that a simplified scenario must retain.
 const MIN_RETAINED_GAP_RATIO: f64 = 0.8;
-/// Rounds of simplification; each tries every step once.
-const MAX_SHRINK_ROUNDS: usize = 6;
+/// Maximum number of simplification rounds. Each round tries every step and keeps one.
+const MAX_SIMPLIFICATION_ROUNDS: usize = 6;
 
-/// A scenario and how far the module falls behind on it.
+/// A scenario and the gap of the placement module to the best baseline.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The scenario, with its seed under `found`.
     pub scenario: Scenario,
-    /// How far the best of the others is ahead; 2 more where the module broke a rule.
+    /// Service score of the best baseline less that of the placement module, plus 2 if the module broke a rule.
     pub gap: f64,
 }
 
-/// Plays the module and the others on one scenario.
-pub fn evaluate(mut scenario: Scenario, seed: u64, others: &[PolicyName]) -> Candidate {
+/// Simulates the placement module and the baselines on one scenario.
+pub fn evaluate(mut scenario: Scenario, seed: u64, baselines: &[PolicyName]) -> Candidate {
     scenario.found = None;
     let module = play(&scenario, seed, PolicyName::Module);
-    let best = others
+    let services = baselines
         .iter()
         .map(|name| (*name, play(&scenario, seed, *name).service));
-    let (against, against_service) = best
+    let (against, against_service) = services
         .max_by(|a, b| a.1.total_cmp(&b.1))
         .unwrap_or((PolicyName::Module, module.service));
-    let broke = if module.times_broken > 0 { 2.0 } else { 0.0 };
-    let gap = against_service - module.service + broke;
+    let violation_penalty = if module.times_broken > 0 { 2.0 } else { 0.0 };
+    let gap = against_service - module.service + violation_penalty;
     let service = module.service;
     scenario.found = Some(SearchRecord {
         seed,
@@ -47,7 +47,7 @@
 
 /// Draws the faults and the load of a candidate.
 fn draw_candidate(scenario: &Scenario, seed: u64, number: u64) -> Scenario {
-    let mut random = stream(seed, 9, number);
+    let mut rng = stream(seed, 9, number);
     let kinds = [
         FaultKind::Silent,
         FaultKind::Slow,
@@ -59,74 +59,82 @@
         FaultKind::Reset,
         FaultKind::Surge,
     ];
-    let mut day = scenario.clone();
-    day.name = format!("{}-{number}", scenario.name);
-    day.faults.clear();
-    for _ in 0..random.gen_range(0..=3) {
-        let kind = kinds
-            .choose(&mut random)
-            .copied()
-            .unwrap_or(FaultKind::Slow);
-        let at_s = scenario.length_s * random.gen_range(0.05..0.6);
-        let part = random.gen_range(0.05..0.25);
+    let mut candidate = scenario.clone();
+    candidate.name = format!("{}-{number}", scenario.name);
+    candidate.faults.clear();
+    for _ in 0..rng.gen_range(0..=3) {
+        let kind = kinds.choose(&mut rng).copied().unwrap_or(FaultKind::Slow);
+        let at_s = scenario.length_s * rng.gen_range(0.05..0.6);
+        let part = rng.gen_range(0.05..0.25);
         let (part, size) = match kind {
-            FaultKind::Slow => (part, random.gen_range(2.0..9.0)),
-            FaultKind::Deploy => (random.gen_range(0.4..1.0), random.gen_range(0.05..0.2)),
-            FaultKind::Shrink | FaultKind::Surge => (part, random.gen_range(1.3..3.0)),
-            FaultKind::Reset => (part, random.gen_range(0.5..5.0)),
+            FaultKind::Slow => (part, rng.gen_range(2.0..9.0)),
+            FaultKind::Deploy => (rng.gen_range(0.4..1.0), rng.gen_range(0.05..0.2)),
+            FaultKind::Shrink | FaultKind::Surge => (part, rng.gen_range(1.3..3.0)),
+            FaultKind::Reset => (part, rng.gen_range(0.5..5.0)),
             _ => (part, 0.0),
         };
-        let for_s = scenario.length_s * random.gen_range(0.15..0.6);
-        day.faults.push(Fault {
+        let for_s = scenario.length_s * rng.gen_range(0.15..0.6);
+        candidate.faults.push(Fault {
             kind,
             at_s,
             for_s,
             part,
             size,
-            drain_s: random.gen_range(2.0..6.0),
+            drain_s: rng.gen_range(2.0..6.0),
             leave: 0.5,
         });
     }
-    day.clients.load *= random.gen_range(0.8..1.2);
-    day.clients.start_skew = random.gen_range(0.0..0.5);
-    day
+    candidate.clients.load *= rng.gen_range(0.8..1.2);
+    candidate.clients.start_skew = rng.gen_range(0.0..0.5);
+    candidate
 }
 
-/// Returns the worst of `days` candidates.
+/// Returns the candidate with the largest gap of `candidate_count`; `None` if the count is 0.
 pub fn find_worst(
     scenario: &Scenario,
     seed: u64,
-    days: u64,
-    others: &[PolicyName],
+    candidate_count: u64,
+    baselines: &[PolicyName],
     done: impl Fn() + Sync,
 ) -> Option<Candidate> {
-    let day = |number: u64| {
-        let day = evaluate(
+    let evaluate_candidate = |number: u64| {
+        let candidate = evaluate(
             draw_candidate(scenario, seed, number),
             seed.wrapping_add(number),
-            others,
+            baselines,
         );
         done();
-        day
+        candidate
     };
-    let all: Vec<Candidate> = (0..days).into_par_iter().map(day).collect();
-    // Of equal ones the first, so that the threads decide nothing.
-    all.into_iter()
-        .reduce(|worst, day| if day.gap > worst.gap { day } else { worst })
+    let candidates: Vec<Candidate> = (0..candidate_count)
+        .into_par_iter()
+        .map(evaluate_candidate)
+        .collect();
+    // Of equal gaps the first wins, so that the result does not depend on thread scheduling.
+    candidates.into_iter().reduce(|worst, candidate| {
+        if candidate.gap > worst.gap {
+            candidate
+        } else {
+            worst
+        }
+    })
 }
 
-/// Simplifies a candidate step by step as long as most of its gap stays.
-pub fn shrink(worst: Candidate, others: &[PolicyName]) -> Candidate {
-    let wanted = worst.gap * MIN_RETAINED_GAP_RATIO;
+/// Simplifies a candidate step by step as long as most of its gap remains.
+pub fn simplify(worst: Candidate, baselines: &[PolicyName]) -> Candidate {
+    let min_gap = worst.gap * MIN_RETAINED_GAP_RATIO;
     let seed = worst.scenario.found.as_ref().map_or(0, |found| found.seed);
     let mut best = worst;
-    for _ in 0..MAX_SHRINK_ROUNDS {
-        let simpler = simplifications(&best.scenario);
-        let candidates: Vec<Candidate> = simpler
+    for _ in 0..MAX_SIMPLIFICATION_ROUNDS {
+        let scenarios = simplifications(&best.scenario);
+        let candidates: Vec<Candidate> = scenarios
             .into_par_iter()
-            .map(|day| evaluate(day, seed, others))
+            .map(|scenario| evaluate(scenario, seed, baselines))
             .collect();
-        let Some(next) = candidates.into_iter().find(|day| day.gap >= wanted) else {
+        let Some(next) = candidates
+            .into_iter()
+            .find(|candidate| candidate.gap >= min_gap)
+        else {
             break;
         };
         best = next;
@@ -134,36 +142,36 @@
     best
 }
 
-/// Returns each scenario that is one step simpler, the largest step first.
+/// Returns the scenarios that are one step simpler, those with the largest steps first.
 fn simplifications(scenario: &Scenario) -> Vec<Scenario> {
-    let mut ways = Vec::new();
-    let mut way = |change: &dyn Fn(&mut Scenario)| {
-        let mut day = scenario.clone();
-        change(&mut day);
-        if day != *scenario {
-            ways.push(day);
+    let mut simplified = Vec::new();
+    let mut try_step = |change: &dyn Fn(&mut Scenario)| {
+        let mut simpler = scenario.clone();
+        change(&mut simpler);
+        if simpler != *scenario {
+            simplified.push(simpler);
         }
     };
-    way(&|day| day.faults.clear());
-    for at in 0..scenario.faults.len() {
-        way(&|day| {
-            day.faults.remove(at);
+    try_step(&|simpler| simpler.faults.clear());
+    for index in 0..scenario.faults.len() {
+        try_step(&|simpler| {
+            simpler.faults.remove(index);
         });
     }
-    way(&|day| day.fleet.transcribers = (day.fleet.transcribers / 2).max(2));
-    way(&|day| day.nodes.count = 1);
-    way(&|day| day.class.truncate(1));
-    way(&|day| day.fleet.kind.truncate(1));
-    way(&|day| day.length_s = (day.length_s / 2.0).max(20.0));
-    way(&|day| day.clients.group_size = 0.0);
-    way(&|day| day.clients.start_skew = 0.0);
-    way(&|day| {
-        for kind in &mut day.fleet.kind {
+    try_step(&|simpler| simpler.fleet.transcribers = (simpler.fleet.transcribers / 2).max(2));
+    try_step(&|simpler| simpler.nodes.count = 1);
+    try_step(&|simpler| simpler.class.truncate(1));
+    try_step(&|simpler| simpler.fleet.kind.truncate(1));
+    try_step(&|simpler| simpler.length_s = (simpler.length_s / 2.0).max(20.0));
+    try_step(&|simpler| simpler.clients.group_size = 0.0);
+    try_step(&|simpler| simpler.clients.start_skew = 0.0);
+    try_step(&|simpler| {
+        for kind in &mut simpler.fleet.kind {
             kind.pause_every_s = 0.0;
             kind.error_rate = 0.0;
             kind.speed_cv = 0.0;
         }
     });
-    way(&|day| day.net.zones = 1);
-    ways
+    try_step(&|simpler| simpler.net.zones = 1);
+    simplified
 }
--- a/crates/simulator/src/experiments/sweep.rs
+++ b/crates/simulator/src/experiments/sweep.rs
@@ -1,6 +1,6 @@
-//! A grid over any values of a scenario, seeds and points in parallel.
+//! Sweeps any values of a scenario over a grid, with seeds and grid points in parallel.
 
-use super::{Estimate, Figures};
+use super::{Estimate, KeyMetrics};
 use crate::policy::PolicyName;
 use crate::scenario::{self, Scenario, ScenarioError};
 use crate::world::play;
@@ -9,23 +9,23 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// One key of a scenario and the values to try.
+/// One axis of the grid: a key of a scenario and its values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Axis {
-    /// The key, dotted; numbers go into arrays.
+    /// The dotted key. Numbers are array indices.
     pub key: String,
-    /// The values, as TOML has them.
+    /// The values of the key.
     pub values: Vec<toml::Value>,
 }
 
-/// Why an axis could not be read.
+/// An error in the text of an axis.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AxisError {
     /// The text has no `=`.
-    #[error("{0:?} is not KEY=VALUE,VALUE,...")]
+    #[error("invalid axis {0:?}: expected KEY=VALUE,VALUE,...")]
     NoValues(String),
-    /// The values are neither TOML nor plain words.
-    #[error("{0:?}: no values that TOML knows")]
+    /// The list of values is empty, or the values are neither TOML nor plain words.
+    #[error("invalid axis {0:?}: values are neither TOML nor plain words")]
     InvalidValues(String),
 }
 
@@ -36,8 +36,8 @@
         let (key, values) = text
             .split_once('=')
             .ok_or_else(|| AxisError::NoValues(text.to_string()))?;
-        // A list of TOML values; words without quotes are taken as strings.
-        let list = |text: &str| -> Option<Vec<toml::Value>> {
+        // Parses a list of TOML values. Words without quotes are quoted in a second attempt.
+        let parse_list = |text: &str| -> Option<Vec<toml::Value>> {
             let table: toml::Table = toml::from_str(&format!("v = [{text}]")).ok()?;
             table.get("v").and_then(|v| v.as_array()).cloned()
         };
@@ -48,8 +48,8 @@
                 .collect::<Vec<_>>()
                 .join(",")
         };
-        let values = list(values)
-            .or_else(|| list(&quoted()))
+        let values = parse_list(values)
+            .or_else(|| parse_list(&quoted()))
             .filter(|values| !values.is_empty());
         let values = values.ok_or_else(|| AxisError::InvalidValues(text.to_string()))?;
         Ok(Axis {
@@ -59,70 +59,76 @@
     }
 }
 
-/// A point of the grid.
+/// The results of one policy at one point of the grid.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The keys and their values.
+    /// The keys of the axes with their values at this point.
     pub at: Vec<(String, String)>,
     /// The policy.
     pub policy: String,
-    /// Each figure over the seeds.
+    /// The mean of each metric over the seeds.
     pub figures: Vec<(String, Estimate)>,
 }
 
-/// Sets a key of a scenario's text; the whole is checked again.
+/// Returns the text of a scenario with one key set. The result must be parsed again, as the value is not checked.
 ///
 /// # Errors
 ///
-/// If the text is no TOML, or if the key leads past the end of an array or through a plain value.
+/// If the text is not TOML, if the key has no valid index into an array, or if it leads through a scalar value.
 pub fn set(
     file: &str,
     text: &str,
     key: &str,
     value: &toml::Value,
 ) -> Result<String, Vec<ScenarioError>> {
-    let wrong = |what: String| {
+    let error_of = |message: String| {
         vec![ScenarioError {
-            place: format!("{file}: {key}"),
-            what,
+            location: format!("{file}: {key}"),
+            message,
         }]
     };
     let mut table: toml::Value =
-        toml::from_str(text).map_err(|error| wrong(error.message().to_string()))?;
-    let mut at = &mut table;
-    let parts: Vec<&str> = key.split('.').collect();
-    for (place, part) in parts.iter().enumerate() {
-        let last = place + 1 == parts.len();
-        at = match at {
-            toml::Value::Array(values) => part
+        toml::from_str(text).map_err(|error| error_of(error.message().to_string()))?;
+    let mut current = &mut table;
+    let segments: Vec<&str> = key.split('.').collect();
+    for (depth, segment) in segments.iter().enumerate() {
+        let is_last = depth + 1 == segments.len();
+        current = match current {
+            toml::Value::Array(values) => segment
                 .parse::<usize>()
                 .ok()
                 .and_then(|index| values.get_mut(index))
-                .ok_or_else(|| wrong(format!("the file has no entry {part:?} there")))?,
+                .ok_or_else(|| error_of(format!("array has no index {segment:?}")))?,
             toml::Value::Table(entries) => {
-                let empty = if last {
+                let default = if is_last {
                     value.clone()
                 } else {
                     toml::Value::Table(toml::Table::new())
                 };
-                entries.entry(part.to_string()).or_insert(empty)
+                entries.entry(segment.to_string()).or_insert(default)
+            }
+            _ => {
+                return Err(error_of(format!(
+                    "{segment:?} is not in a table or an array"
+                )))
             }
-            _ => return Err(wrong(format!("{part:?} is no table"))),
         };
     }
-    // Whole numbers may be written where a fraction is wanted.
-    *at = match (&*at, value) {
-        (toml::Value::Float(_), toml::Value::Integer(whole)) => toml::Value::Float(*whole as f64),
+    // An integer may be given for a key with a floating-point value.
+    *current = match (&*current, value) {
+        (toml::Value::Float(_), toml::Value::Integer(integer)) => {
+            toml::Value::Float(*integer as f64)
+        }
         _ => value.clone(),
     };
-    toml::to_string(&table).map_err(|error| wrong(error.to_string()))
+    toml::to_string(&table).map_err(|error| error_of(error.to_string()))
 }
 
-/// Plays every point on every seed; `done` is called after each run.
+/// Simulates every point of the grid with every policy on every seed, and calls `done` after each run.
 ///
 /// # Errors
 ///
-/// If a point of the grid is no scenario that holds.
+/// If a point of the grid is not a valid scenario.
 pub fn sweep(
     file: &str,
     scenario: &Scenario,
@@ -131,68 +137,68 @@
     seeds: std::ops::Range<u64>,
     done: impl Fn() + Sync,
 ) -> Result<Vec<Row>, Vec<ScenarioError>> {
-    let unwritten = |error: toml::ser::Error| {
+    let serialization_error = |error: toml::ser::Error| {
         vec![ScenarioError {
-            place: file.to_string(),
-            what: error.to_string(),
+            location: file.to_string(),
+            message: error.to_string(),
         }]
     };
-    let text = toml::to_string(scenario).map_err(unwritten)?;
+    let text = toml::to_string(scenario).map_err(serialization_error)?;
     let mut points: Vec<(Vec<(String, String)>, String)> = vec![(Vec::new(), text)];
     for axis in axes {
         let mut next = Vec::new();
-        for (at, text) in &points {
+        for (coordinates, text) in &points {
             for value in &axis.values {
-                let mut at = at.clone();
-                at.push((
+                let mut coordinates = coordinates.clone();
+                coordinates.push((
                     axis.key.clone(),
                     value.to_string().trim_matches('"').to_string(),
                 ));
-                next.push((at, set(file, text, &axis.key, value)?));
+                next.push((coordinates, set(file, text, &axis.key, value)?));
             }
         }
         points = next;
     }
     let mut jobs: Vec<(usize, PolicyName, Scenario)> = Vec::new();
-    for (place, (at, text)) in points.iter().enumerate() {
-        let named: Vec<String> = at
+    for (point, (coordinates, text)) in points.iter().enumerate() {
+        let settings: Vec<String> = coordinates
             .iter()
             .map(|(key, value)| format!("{key}={value}"))
             .collect();
-        let scenario = scenario::parse(&format!("{file} with {}", named.join(" ")), text)?;
-        jobs.extend(policies.iter().map(|name| (place, *name, scenario.clone())));
+        let scenario = scenario::parse(&format!("{file} with {}", settings.join(" ")), text)?;
+        jobs.extend(policies.iter().map(|name| (point, *name, scenario.clone())));
     }
-    let row = |(place, name, scenario): &(usize, PolicyName, Scenario)| {
+    let row = |(point, name, scenario): &(usize, PolicyName, Scenario)| {
         let run = |seed: u64| {
-            let figures = Figures::of(&play(scenario, seed, *name));
+            let metrics = KeyMetrics::of(&play(scenario, seed, *name));
             done();
-            figures
+            metrics
         };
-        let runs: Vec<Figures> = seeds.clone().into_par_iter().map(run).collect();
-        let column = |at: usize| {
+        let runs: Vec<KeyMetrics> = seeds.clone().into_par_iter().map(run).collect();
+        let values = |metric: usize| {
             runs.iter()
-                .map(|run| run.named()[at].1)
+                .map(|run| run.named()[metric].1)
                 .collect::<Vec<f64>>()
         };
         let names = runs
             .first()
-            .map(Figures::named)
+            .map(KeyMetrics::named)
             .into_iter()
             .flatten()
             .enumerate();
         Row {
-            at: points[*place].0.clone(),
+            at: points[*point].0.clone(),
             policy: name.as_str().into(),
             figures: names
-                .map(|(at, (name, _))| (name.to_string(), Estimate::of(&column(at))))
+                .map(|(metric, (name, _))| (name.to_string(), Estimate::of(&values(metric))))
                 .collect(),
         }
     };
     Ok(jobs.par_iter().map(row).collect())
 }
 
-/// The figures that the table has a column for.
-const TABLE_FIGURES: [&str; 8] = [
+/// The metrics shown in the table, one column each.
+const TABLE_METRICS: [&str; 8] = [
     "service",
     "worst_window",
     "worst_class",
@@ -203,10 +209,10 @@
     "events",
 ];
 
-/// Formats the rows as a table for people.
+/// Formats the rows as a text table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = format!("{:<40}{:<14}", "point", "policy");
-    for name in TABLE_FIGURES {
+    for name in TABLE_METRICS {
         let _ = write!(text, "{name:>16}");
     }
     for row in rows {
@@ -216,13 +222,13 @@
 }
 
 fn append_line(text: &mut String, row: &Row) {
-    let at: Vec<String> = row
+    let coordinates: Vec<String> = row
         .at
         .iter()
         .map(|(key, value)| format!("{key}={value}"))
         .collect();
-    let _ = write!(text, "\n{:<40}{:<14}", at.join(" "), row.policy);
-    for name in TABLE_FIGURES {
+    let _ = write!(text, "\n{:<40}{:<14}", coordinates.join(" "), row.policy);
+    for name in TABLE_METRICS {
         let found = row.figures.iter().find(|(other, _)| other == name);
         let mean = found.map_or(String::new(), |(_, estimate)| {
             format!("{:.3}", estimate.mean)
--- a/crates/simulator/src/plot.rs
+++ b/crates/simulator/src/plot.rs
@@ -1,4 +1,5 @@
-//! Plots as SVG: the time line of a run, a sweep's figure against its first key, the paper's deviations, costs by size.
+//! Plots results as SVG: the time line of a run, a metric of a sweep by its first key, the standard deviations of the
+//! paper's comparison, and costs by fleet size.
 
 use crate::experiments::cost::Cost;
 use crate::experiments::sweep::Row as SweepRow;
@@ -9,30 +10,30 @@
 use std::io;
 use thiserror::Error;
 
-/// Why results could not be drawn.
+/// An error of plotting results.
 #[derive(Debug, Error)]
 pub enum PlotError {
-    /// The value of a sweep's first key is no number.
-    #[error("{key}={value}: a plot needs numbers")]
+    /// The value of a sweep's first key is not a number.
+    #[error("{key}={value}: cannot plot a value that is not a number")]
     NotANumber {
         /// The key.
         key: String,
         /// Its value.
         value: String,
     },
-    /// A sweep has no figure of that name.
-    #[error("no figure is called {0:?}")]
-    UnknownFigure(String),
+    /// A sweep has no metric of that name.
+    #[error("sweep has no metric {0:?}")]
+    UnknownMetric(String),
     /// The drawing library failed.
     #[error(transparent)]
     Drawing(#[from] DrawingAreaErrorKind<io::Error>),
 }
 
-/// What a file of results holds, told by its keys.
+/// The contents of a results file, distinguished by their keys.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum Results {
-    /// A run.
+    /// The results of a run.
     Run {
         /// The scenario's name.
         scenario: String,
@@ -41,29 +42,29 @@
         /// The time line.
         timeline: Vec<Sample>,
     },
-    /// A sweep.
+    /// The results of a sweep.
     Sweep {
-        /// Its points.
+        /// One row per grid point and policy.
         sweep: Vec<SweepRow>,
     },
-    /// The paper's comparison.
+    /// The results of the paper's comparison.
     Paper {
-        /// Its rows.
+        /// One row per server count, key format and method.
         paper: Vec<PaperRow>,
     },
-    /// Costs against size.
+    /// Measured costs.
     Cost {
-        /// Its rows.
+        /// One row per fleet size.
         cost: Vec<Cost>,
     },
 }
 
-/// Draws results; `figure` names the figure of a sweep. The SVG's text is returned.
+/// Plots results and returns the SVG. `metric` is the metric to plot for a sweep; other results ignore it.
 ///
 /// # Errors
 ///
-/// If no figure of the sweep has that name, if a value of its first key is no number, or if drawing fails.
-pub fn draw(results: &Results, figure: &str) -> Result<String, PlotError> {
+/// If the sweep has no metric of that name, if a value of its first key is not a number, or if drawing fails.
+pub fn draw(results: &Results, metric: &str) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (1000, 700)).into_drawing_area();
@@ -73,10 +74,10 @@
                 scenario,
                 policy,
                 timeline,
-            } => run(&root, &format!("{scenario}, {policy}"), timeline)?,
+            } => run_chart(&root, &format!("{scenario}, {policy}"), timeline)?,
             Results::Sweep { sweep } => {
-                let (x, lines) = sweep_lines(sweep, figure)?;
-                chart(&root, figure, &x, figure, &lines, false)?;
+                let (x, lines) = sweep_lines(sweep, metric)?;
+                chart(&root, metric, &x, metric, &lines, false)?;
             }
             Results::Paper { paper } => paper_chart(&root, paper)?,
             Results::Cost { cost } => cost_chart(&root, cost)?,
@@ -86,9 +87,9 @@
     Ok(svg)
 }
 
-/// Standard deviations of the shares by servers, a line for each method and form of keys.
+/// Plots the standard deviation of the shares by server count, with a line for each method and key format.
 fn paper_chart(root: &Area, paper: &[PaperRow]) -> Result<(), PlotError> {
-    let of = |method: Method, keys| {
+    let points = |method: Method, keys| {
         let rows = paper
             .iter()
             .filter(|row| row.method == method && row.keys == keys);
@@ -96,9 +97,12 @@
             .collect::<Vec<_>>()
     };
     let mut lines = Vec::new();
-    for keys in [crate::paper::Form::Guid, crate::paper::Form::Prefixed] {
+    for keys in [
+        crate::paper::KeyFormat::Guid,
+        crate::paper::KeyFormat::Prefixed,
+    ] {
         for method in [Method::Product, Method::Pair] {
-            lines.push((format!("{method:?}, {keys:?} keys"), of(method, keys)));
+            lines.push((format!("{method:?}, {keys:?} keys"), points(method, keys)));
         }
     }
     chart(
@@ -111,13 +115,13 @@
     )
 }
 
-/// The cost of each kind of work by size of the fleet.
+/// Plots the cost of each operation by fleet size.
 fn cost_chart(root: &Area, cost: &[Cost]) -> Result<(), PlotError> {
-    let line = |name: &str, of: &dyn Fn(&Cost) -> f64| {
+    let line = |name: &str, value: &dyn Fn(&Cost) -> f64| {
         (
             name.to_string(),
             cost.iter()
-                .map(|row| (f64::from(row.transcribers), of(row)))
+                .map(|row| (f64::from(row.transcribers), value(row)))
                 .collect(),
         )
     };
@@ -139,8 +143,8 @@
 type Line = (String, Vec<(f64, f64)>);
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-/// The lines of a sweep: one for each policy and each further key's value, by the first key.
-fn sweep_lines(rows: &[SweepRow], figure: &str) -> Result<(String, Vec<Line>), PlotError> {
+/// Returns the first key of a sweep and its lines: one for each policy and combination of values of the other keys.
+fn sweep_lines(rows: &[SweepRow], metric: &str) -> Result<(String, Vec<Line>), PlotError> {
     let mut lines: Vec<Line> = Vec::new();
     let mut axis = String::new();
     for row in rows {
@@ -148,20 +152,20 @@
             continue;
         };
         axis.clone_from(key);
-        let rest: Vec<String> = row.at[1..]
+        let other_values: Vec<String> = row.at[1..]
             .iter()
             .map(|(key, value)| format!("{key}={value}"))
             .collect();
-        let name = format!("{} {}", row.policy, rest.join(" "))
+        let name = format!("{} {}", row.policy, other_values.join(" "))
             .trim()
             .to_string();
         let x: f64 = value.parse().map_err(|_| PlotError::NotANumber {
             key: key.clone(),
             value: value.clone(),
         })?;
-        let found = row.figures.iter().find(|(name, _)| name == figure);
-        let y = found
-            .ok_or_else(|| PlotError::UnknownFigure(figure.to_string()))?
+        let estimate = row.figures.iter().find(|(name, _)| name == metric);
+        let y = estimate
+            .ok_or_else(|| PlotError::UnknownMetric(metric.to_string()))?
             .1
             .mean;
         match lines.iter_mut().find(|(other, _)| *other == name) {
@@ -172,6 +176,7 @@
     Ok((axis, lines))
 }
 
+/// Returns the minimum and maximum of x and of y, with a non-empty range for each.
 fn bounds(lines: &[Line]) -> (f64, f64, f64, f64) {
     let points = || lines.iter().flat_map(|(_, points)| points.iter());
     let x = points()
@@ -194,7 +199,7 @@
     x_name: &str,
     y_name: &str,
     lines: &[Line],
-    log: bool,
+    is_log_scale: bool,
 ) -> Result<(), PlotError> {
     let (x0, x1, y0, y1) = bounds(lines);
     let mut builder = ChartBuilder::on(root);
@@ -203,18 +208,20 @@
         .margin(16)
         .x_label_area_size(42)
         .y_label_area_size(64);
-    if log {
-        let low = y0.max(y1 * 1e-6);
-        let mut chart = builder
-            .build_cartesian_2d((x0.max(1e-9)..x1).log_scale(), (low..y1 * 1.2).log_scale())?;
+    if is_log_scale {
+        let min_y = y0.max(y1 * 1e-6);
+        let mut chart = builder.build_cartesian_2d(
+            (x0.max(1e-9)..x1).log_scale(),
+            (min_y..y1 * 1.2).log_scale(),
+        )?;
         chart
             .configure_mesh()
             .x_desc(x_name)
             .y_desc(y_name)
             .draw()?;
-        for (at, (name, points)) in lines.iter().enumerate() {
-            let colour = Palette99::pick(at).to_rgba();
-            let points = points.iter().map(|(x, y)| (*x, y.max(low)));
+        for (index, (name, points)) in lines.iter().enumerate() {
+            let colour = Palette99::pick(index).to_rgba();
+            let points = points.iter().map(|(x, y)| (*x, y.max(min_y)));
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
                 .label(name)
@@ -234,12 +241,12 @@
             .x_desc(x_name)
             .y_desc(y_name)
             .draw()?;
-        for (at, (name, points)) in lines.iter().enumerate() {
-            let colour = Palette99::pick(at).to_rgba();
+        for (index, (name, points)) in lines.iter().enumerate() {
+            let colour = Palette99::pick(index).to_rgba();
             let line = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
-            let drawn = chart.draw_series(line)?;
+            let series = chart.draw_series(line)?;
             if lines.len() <= 12 {
-                drawn.label(name).legend(move |(x, y)| {
+                series.label(name).legend(move |(x, y)| {
                     PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2))
                 });
             }
@@ -255,30 +262,34 @@
     Ok(())
 }
 
-/// Service and imbalance above, the load of each transcriber below.
-fn run(root: &Area, title: &str, timeline: &[Sample]) -> Result<(), PlotError> {
-    let (above, below) = root.split_vertically(300);
-    let over = |of: &dyn Fn(&Sample) -> f64| {
+/// Plots service and imbalance in the upper half, and the utilization of each server in the lower half.
+fn run_chart(root: &Area, title: &str, timeline: &[Sample]) -> Result<(), PlotError> {
+    let (upper, lower) = root.split_vertically(300);
+    let points = |value: &dyn Fn(&Sample) -> f64| {
         timeline
             .iter()
-            .map(|at| (at.at_s, of(at)))
+            .map(|sample| (sample.at_s, value(sample)))
             .collect::<Vec<_>>()
     };
     let lines = [
-        ("service".into(), over(&|at| at.service)),
-        ("imbalance".into(), over(&|at| at.imbalance)),
+        ("service".into(), points(&|sample| sample.service)),
+        ("imbalance".into(), points(&|sample| sample.imbalance)),
     ];
-    chart(&above, title, "s", "share", &lines, false)?;
-    let most = timeline.iter().map(|at| at.used.len()).max().unwrap_or(0);
+    chart(&upper, title, "s", "share", &lines, false)?;
+    let server_count = timeline
+        .iter()
+        .map(|sample| sample.used.len())
+        .max()
+        .unwrap_or(0);
     let mut loads: Vec<Line> = Vec::new();
-    for server in 0..most {
-        let points = timeline
+    for server in 0..server_count {
+        let server_loads = timeline
             .iter()
-            .filter_map(|at| Some((at.at_s, (*at.used.get(server)?)?)));
-        loads.push((format!("transcriber {server}"), points.collect()));
+            .filter_map(|sample| Some((sample.at_s, (*sample.used.get(server)?)?)));
+        loads.push((format!("transcriber {server}"), server_loads.collect()));
     }
     if loads.is_empty() {
-        loads.push(("standing".into(), over(&|at| at.standing as f64)));
+        loads.push(("standing".into(), points(&|sample| sample.standing as f64)));
     }
-    chart(&below, "Load over capacity", "s", "load", &loads, false)
+    chart(&lower, "Load over capacity", "s", "load", &loads, false)
 }
--- a/crates/simulator/src/population.rs
+++ b/crates/simulator/src/population.rs
@@ -64,7 +64,7 @@
         });
         let size = scenario.clients.group_size;
         let count = if size > 0.0 {
-            (scenario.standing() / size).ceil().max(1.0)
+            (scenario.mean_connection_count() / size).ceil().max(1.0)
         } else {
             0.0
         };
--- a/crates/simulator/src/scenario/error.rs
+++ b/crates/simulator/src/scenario/error.rs
@@ -1,13 +1,13 @@
-//! Findings about a scenario's file.
+//! Errors in a scenario file.
 
 use thiserror::Error;
 
-/// What is wrong with a file, and where.
+/// An error in a scenario file and its location.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("{place}: {what}")]
+#[error("{location}: {message}")]
 pub struct ScenarioError {
-    /// The file, the line and the key, as far as they are known.
-    pub place: String,
-    /// What is wrong.
-    pub what: String,
+    /// The file, and the line and key if they are known.
+    pub location: String,
+    /// The description of the error.
+    pub message: String,
 }
--- a/crates/simulator/src/scenario/faults.rs
+++ b/crates/simulator/src/scenario/faults.rs
@@ -2,68 +2,68 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong. `part` is the share of the transcribers (or nodes) it strikes.
+/// A fault that is injected into the simulation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What it is.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, s.
+    /// The start of the fault, s.
     pub at_s: f64,
-    /// How long it lasts, s.
+    /// The duration of the fault, s.
     #[serde(default = "default_fault_length")]
     pub for_s: f64,
-    /// The share that it strikes.
-    #[serde(default = "default_part")]
+    /// The fraction of the servers (or nodes) that the fault affects.
+    #[serde(default = "default_affected_fraction")]
     pub part: f64,
-    /// How much: the factor of `slow` and `surge`, the divisor of `shrink`, the drops a second of `reset`, the
-    /// share of the fleet in one step of `deploy`.
+    /// The extent of the fault: the factor of `slow` and `surge`, the divisor of `shrink`, the connections that
+    /// `reset` breaks per second, the fraction of the fleet that one step of `deploy` replaces.
     #[serde(default)]
     pub size: f64,
-    /// Seconds that a transcriber drains for, at `deploy` and `shrink`.
-    #[serde(default = "default_drain")]
+    /// Seconds for which a server drains, for `deploy` and `shrink`.
+    #[serde(default = "default_drain_duration")]
     pub drain_s: f64,
-    /// Of the clients that are too many for a shrunk fleet, the share that leaves while it shrinks.
-    #[serde(default = "default_leave")]
+    /// The fraction of the clients in excess of the smaller fleet that disconnect for good while it shrinks.
+    #[serde(default = "default_departing_fraction")]
     pub leave: f64,
 }
 
-fn default_leave() -> f64 {
+fn default_departing_fraction() -> f64 {
     0.5
 }
 
 fn default_fault_length() -> f64 {
     15.0
 }
-fn default_part() -> f64 {
+fn default_affected_fraction() -> f64 {
     0.1
 }
-fn default_drain() -> f64 {
+fn default_drain_duration() -> f64 {
     4.0
 }
 
-/// Kinds of faults.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Machines give no sign, and come back cold.
+    /// Machines stop answering; their servers restart at the end of the fault and warm up again.
     Silent,
-    /// The processes of a zone, or `part` of them, end in the same moment, and are back cold after `for_s`.
+    /// The server processes of a zone, or `part` of them, end at the same time; they restart after `for_s` and warm up.
     ZoneLost,
-    /// Transcribers run slower by `size`.
+    /// Servers run slower by the factor `size`.
     Slow,
-    /// A rolling replacement of `part` of the fleet, `size` of it at a time.
+    /// A rolling deploy replaces `part` of the fleet, `size` of the fleet at a time.
     Deploy,
-    /// The fleet shrinks to 1 / `size`, traffic likewise.
+    /// The fleet shrinks to 1 / `size` of its servers, and arrivals decrease likewise.
     Shrink,
-    /// `part` of the nodes die, and are back after `for_s`.
+    /// `part` of the nodes are killed; they restart after `for_s`.
     NodeDown,
-    /// Discovery answers nothing.
+    /// All calls to discovery fail.
     DiscoveryDown,
-    /// Discovery answers, but learns of nothing.
+    /// Discovery answers calls, but learns of no changes.
     DiscoveryStale,
-    /// Single standing connections break, `size` a second.
+    /// Single established connections are reset, `size` per second.
     Reset,
-    /// Arrivals are `size` times as many.
+    /// The arrival rate is multiplied by `size`.
     Surge,
 }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! A scenario: the world, its clients and what goes wrong, as a TOML file with a version.
+//! Scenarios: servers, nodes, network, discovery, clients and faults of a simulation, in versioned TOML files.
 //!
-//! Every key has a default, so that a file names only what it is about; a key that does not exist is an error.
+//! Almost every key has a default, so a file contains only the values that matter to it. An unknown key is an error.
 
 mod bounds;
 mod error;
@@ -11,7 +11,9 @@
 pub use error::ScenarioError;
 pub use faults::{Fault, FaultKind};
 pub use loading::{load, parse};
-pub use sections::{Class, Clients, Delays, Discovery, Fleet, Goal, Kind, Net, Nodes, Rules};
+pub use sections::{
+    Class, Clients, DelayVisibility, Discovery, Fleet, Goal, MachineKind, Net, Nodes, Rules,
+};
 
 use sections::default_classes;
 use serde::{Deserialize, Serialize};
@@ -25,25 +27,25 @@
 pub struct Scenario {
     /// The version of the format.
     pub version: u32,
-    /// What it is called.
+    /// The name of the scenario.
     #[serde(default)]
     pub name: String,
-    /// What it is for, for people.
+    /// A description of the scenario for readers.
     #[serde(default)]
     pub about: String,
-    /// Another file beside this one that this one changes: tables are merged key by key, arrays replaced.
+    /// The base scenario, a path relative to this file: tables are merged key by key, arrays are replaced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub extends: Option<String>,
-    /// Simulated seconds; what is under way at the end is not judged.
+    /// Simulated seconds. Requests still pending at the end are not evaluated.
     #[serde(default = "default_length")]
     pub length_s: f64,
-    /// The transcribers.
+    /// The servers.
     #[serde(default)]
     pub fleet: Fleet,
     /// The balancer nodes and their settings.
     #[serde(default)]
     pub nodes: Nodes,
-    /// Zones and delays.
+    /// Zones and network delays.
     #[serde(default)]
     pub net: Net,
     /// Discovery.
@@ -52,19 +54,19 @@
     /// Clients, arrivals and groups.
     #[serde(default)]
     pub clients: Clients,
-    /// The figures of the four rules.
+    /// Parameters of the four rules that nodes must follow.
     #[serde(default)]
     pub rules: Rules,
-    /// How service is put into one figure.
+    /// Weights and penalties that combine the metrics of a run into one service score.
     #[serde(default)]
     pub goal: Goal,
     /// The classes of requests.
     #[serde(default = "default_classes")]
     pub class: Vec<Class>,
-    /// What goes wrong, and when.
+    /// The faults.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
-    /// Where `hunt` found it: what `replay` compares with.
+    /// The result of the search (`hunt`) that found this scenario, with which `replay` compares.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub found: Option<SearchRecord>,
 }
@@ -73,67 +75,70 @@
     60.0
 }
 
-/// What `hunt` found: the seed and the service of both policies.
+/// The result of a search (`hunt`): the seed and the service scores of both policies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SearchRecord {
     /// The seed of the run.
     pub seed: u64,
-    /// The module's service.
+    /// The service score of the placement module.
     pub service: f64,
-    /// The policy that it was compared with.
+    /// The baseline policy with which the placement module was compared.
     pub against: String,
-    /// That policy's service.
+    /// The service score of the baseline policy.
     pub against_service: f64,
 }
 
 impl Scenario {
-    /// Mean load of a connection over its life, in cores of speed 1.
+    /// Mean load of a connection over its lifetime, in cores of speed 1.
     pub fn mean_load(&self) -> f64 {
         1.0 / self.fleet.per_core
     }
 
-    /// Over the classes, by their shares, the mean of a figure.
-    fn over_classes(&self, of: impl Fn(&Class) -> f64) -> f64 {
-        let all: f64 = self.class.iter().map(|class| class.share).sum();
+    /// Mean of `value` over the classes, weighted by their shares.
+    fn class_mean(&self, value: impl Fn(&Class) -> f64) -> f64 {
+        let total_share: f64 = self.class.iter().map(|class| class.share).sum();
         self.class
             .iter()
-            .map(|class| class.share / all * of(class))
+            .map(|class| class.share / total_share * value(class))
             .sum()
     }
 
-    /// What a unit of a class's `load` stands for, in cores of speed 1.
+    /// The load in cores of speed 1 that corresponds to a class `load` of 1.
     pub fn load_unit(&self) -> f64 {
-        let standing = self.over_classes(|class| class.life);
-        let loaded = self.over_classes(|class| class.load * class.life);
-        self.mean_load() * standing / loaded.max(1e-12)
+        let mean_life = self.class_mean(|class| class.life);
+        let mean_load_by_life = self.class_mean(|class| class.load * class.life);
+        self.mean_load() * mean_life / mean_load_by_life.max(1e-12)
     }
 
-    /// Cores of speed 1 that the fleet of the start has, on average over seeds.
+    /// Capacity of the initial fleet in cores of speed 1, on average over seeds.
     pub fn mean_capacity(&self) -> f64 {
-        let all: f64 = self.fleet.kind.iter().map(|kind| kind.share).sum();
-        let each = |kind: &Kind| kind.share / all * f64::from(kind.cores) * kind.speed;
-        f64::from(self.fleet.transcribers) * self.fleet.kind.iter().map(each).sum::<f64>()
+        let total_share: f64 = self.fleet.kind.iter().map(|kind| kind.share).sum();
+        let kind_capacity =
+            |kind: &MachineKind| kind.share / total_share * f64::from(kind.cores) * kind.speed;
+        f64::from(self.fleet.transcribers) * self.fleet.kind.iter().map(kind_capacity).sum::<f64>()
     }
 
-    /// New connections a second, before `shape` and surges. The work that groups cost counts as load, each on one
-    /// transcriber: what a policy adds by spreading them is its own doing.
+    /// New connections per second, before `shape` and surges. The extra load of a group is counted for one server
+    /// only; load that a policy adds by spreading groups over servers is not compensated by fewer arrivals.
     pub fn rate(&self) -> f64 {
         if self.clients.rate > 0.0 {
             return self.clients.rate;
         }
-        let life = self.clients.life_s * self.over_classes(|class| class.life);
+        let mean_life_s = self.clients.life_s * self.class_mean(|class| class.life);
         let size = self.clients.group_size;
-        let shared = if size > 0.0 {
+        let group_overhead = if size > 0.0 {
             self.fleet.group_cost / size.max(1.0)
         } else {
             0.0
         };
-        self.clients.load * self.mean_capacity() * self.fleet.per_core / (1.0 + shared) / life
+        self.clients.load * self.mean_capacity() * self.fleet.per_core
+            / (1.0 + group_overhead)
+            / mean_life_s
     }
 
-    /// Mean connections that stand at that rate.
-    pub fn standing(&self) -> f64 {
-        self.rate() * self.clients.life_s * self.over_classes(|class| class.life)
+    /// Mean number of established connections at that rate.
+    pub fn mean_connection_count(&self) -> f64 {
+        self.rate() * self.clients.life_s * self.class_mean(|class| class.life)
     }
 }
--- a/crates/simulator/src/scenario/sections.rs
+++ b/crates/simulator/src/scenario/sections.rs
@@ -1,4 +1,4 @@
-//! The sections of a scenario, each key with its default.
+//! The sections of a scenario with the defaults of their keys.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,59 +17,59 @@
 }
 
 section! {
-    /// The transcribers.
+    /// The servers.
     Fleet {
-        /// How many run at the start.
+        /// Number of servers at the start.
         transcribers: u32 = 13,
-        /// Kinds of machines; each takes its share of the fleet.
-        kind: Vec<Kind> = vec![Kind::default()],
-        /// Mean connections that fill one core of speed 1.
+        /// Machine kinds, in the proportion of their shares.
+        kind: Vec<MachineKind> = vec![MachineKind::default()],
+        /// Mean number of connections that saturate one core of speed 1.
         per_core: f64 = 30.0,
-        /// Connections that a transcriber accepts, as a multiple of those that fill it; 0 for no cap.
+        /// Connection limit of a server, as a multiple of the number that saturates it; 0 for no limit.
         cap: f64 = 1.7,
-        /// ... or as a number, which goes first; 0 for none.
+        /// Absolute connection limit of a server, which overrides `cap`; 0 to use `cap`.
         cap_connections: u32 = 0,
-        /// Seconds of piled-up work past which connections are dropped.
+        /// Backlog in seconds of work beyond which a server drops connections.
         buffer_s: f64 = 1.5,
-        /// Work of one message in ms on an idle core of speed 1, bursts included.
+        /// Work per message in ms on an idle core of speed 1, bursts included.
         message_ms: f64 = 5.0,
-        /// Work of each group that a transcriber holds any of, in mean connection loads.
+        /// Extra load of each group with a connection on a server, in units of the mean connection load.
         group_cost: f64 = 1.5,
-        /// Clients are asked to leave bit by bit while a transcriber drains.
+        /// Whether a draining server gradually asks its clients to reconnect elsewhere.
         goaway: bool = true,
-        /// How far the list's weights may be from the true capacity, as a share.
+        /// Largest relative error of the weights in the endpoint list.
         weight_error: f64 = 0.3,
     }
 }
 
 section! {
     /// A kind of machine.
-    Kind {
+    MachineKind {
         /// Its name.
         name: String = "std-2c".into(),
-        /// Its share of the fleet, relative to the other kinds'.
+        /// Share of the fleet, relative to the shares of the other kinds.
         share: f64 = 1.0,
-        /// Cores.
+        /// Number of cores.
         cores: u32 = 2,
         /// Speed of a core.
         speed: f64 = 1.0,
         /// Coefficient of variation of the speed from machine to machine.
         speed_cv: f64 = 0.0,
-        /// Set-ups in work at once; 0 for as many as cores.
+        /// Number of concurrent setups; 0 for one per core.
         slots: u32 = 0,
-        /// Set-ups that may wait; those beyond are turned away.
+        /// Length of the setup queue; setups beyond it are rejected.
         queue: u32 = 8,
-        /// How much less it does for each multiple of its capacity that is asked of it beyond that.
+        /// Loss of throughput under overload: capacity is divided by 1 + `thrash` * (load / capacity - 1).
         thrash: f64 = 0.3,
-        /// The share of its capacity that a cold one starts with.
+        /// Fraction of its capacity that a server has when it starts.
         cold_from: f64 = 0.4,
-        /// Seconds until it is warm.
+        /// Duration of the warm-up, s.
         cold_s: f64 = 6.0,
         /// Mean seconds between pauses; 0 for none.
         pause_every_s: f64 = 0.0,
         /// Length of a pause in ms.
         pause_ms: f64 = 0.0,
-        /// Share of set-ups that end in an error.
+        /// Fraction of setups that end in an error.
         error_rate: f64 = 0.0,
     }
 }
@@ -77,48 +77,48 @@
 section! {
     /// The nodes.
     Nodes {
-        /// How many.
+        /// Number of nodes.
         count: u32 = 2,
-        /// Attempts for one request.
+        /// Maximum number of attempts per request.
         attempts: u32 = 3,
-        /// Clients are told when to come again, up to this many ms; 0 for not at all.
+        /// Longest retry delay that a rejection contains, ms; 0 for none.
         retry_after_ms: f64 = 2000.0,
-        /// What a node sees of messages: `all` tells their delay once a second, `sockets` only what set-ups
-        /// that take long tell (lines are returned at once however crowded a transcriber is), `none` nothing.
-        delays: Delays = Delays::All,
-        /// Nodes hear of each connection's load.
+        /// The message delays that a node observes: `all` reports them once a second, `none` never. `sockets`
+        /// reports only unusually long setups, as an overloaded server still echoes lines at once.
+        delays: DelayVisibility = DelayVisibility::All,
+        /// Whether nodes receive the load of each connection.
         loads: bool = true,
-        /// Seconds after which connections without answers are told as silent; 0 for never.
+        /// Seconds without answers after which connections are reported as unresponsive; 0 for never.
         silence_s: f64 = 1.0,
-        /// Time in which a connection must come up, in ms.
+        /// Connect timeout, ms.
         connect_timeout_ms: f64 = 150.0,
-        /// Seconds after which the front leaves out a dead node.
+        /// Seconds after which the front load balancer stops assigning clients to a failed node.
         front_notice_s: f64 = 2.0,
     }
 }
 
-/// What a node sees of message delays.
+/// The message delays that a node observes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Delays {
-    /// Their delay, once a second.
+pub enum DelayVisibility {
+    /// Message delays, once a second.
     All,
-    /// Only set-ups that take long.
+    /// The delays of unusually long setups only.
     Sockets,
-    /// Nothing.
+    /// No delays.
     None,
 }
 
 section! {
-    /// Zones and delays, one way.
+    /// Zones and one-way network delays.
     Net {
-        /// Zones; transcribers and nodes are spread over them in turn.
+        /// Number of zones; servers and nodes are assigned to them in rotation.
         zones: u32 = 2,
-        /// Within a zone, ms.
+        /// Delay within a zone, ms.
         same_ms: f64 = 0.2,
-        /// Between zones, ms.
+        /// Delay between zones, ms.
         cross_ms: f64 = 4.0,
-        /// Between a client and its node, ms.
+        /// Delay between a client and its node, ms.
         client_ms: f64 = 0.8,
         /// Coefficient of variation of each delay.
         jitter: f64 = 0.15,
@@ -130,95 +130,95 @@
 section! {
     /// Discovery: one service that handles calls one after another.
     Discovery {
-        /// Calls a second.
+        /// Calls answered per second.
         capacity: f64 = 5.0,
-        /// A call that waits longer fails, s.
+        /// Longest wait of a call in the queue before it fails, s.
         timeout_s: f64 = 3.0,
-        /// Seconds until it knows that a process drains or is gone.
+        /// Seconds until discovery learns that a process drains or has ended.
         notice_s: f64 = 1.5,
-        /// ... or that a machine went silent.
+        /// Seconds until discovery learns that a machine has stopped answering.
         silent_notice_s: f64 = 9.0,
-        /// ... or that a process started.
+        /// Seconds until discovery learns that a process has started.
         add_s: f64 = 1.0,
-        /// Changes reach each node within this many ms of each other.
+        /// Longest delay of a change notification to a node, ms; drawn anew for each node and change.
         spread_ms: f64 = 50.0,
-        /// Its clock is ahead by so many seconds in what it says of starts.
+        /// Seconds by which the start times that discovery reports are ahead.
         clock_ahead_s: f64 = 0.0,
     }
 }
 
 section! {
-    /// Clients.
+    /// The clients.
     Clients {
-        /// Arrivals as a share of what the fleet can carry; used where `rate` is 0.
+        /// Offered load as a fraction of the fleet's capacity; used if `rate` is 0.
         load: f64 = 0.5,
-        /// New connections a second.
+        /// New connections per second.
         rate: f64 = 0.0,
-        /// The rate over time: pairs of a second and a multiple, straight lines between.
+        /// Factor of the arrival rate over time: pairs of a second and a factor, interpolated linearly.
         shape: Vec<[f64; 2]> = vec![],
-        /// The world starts with the connections that such arrivals leave standing.
+        /// Whether the run starts with the connections that this arrival rate keeps established.
         warm_start: bool = true,
-        /// Share of those that stand elsewhere than by rendezvous.
+        /// Fraction of these initial connections that are on a random server, not on the top-ranked one.
         start_skew: f64 = 0.1,
-        /// Mean seconds that a client wants its connection.
+        /// Mean time that a client wants to be connected, s.
         life_s: f64 = 90.0,
-        /// Spread of lives: sigma of a log-normal; 0 for exponential lives.
+        /// Sigma of the log-normal distribution of that time; 0 for an exponential distribution.
         life_sigma: f64 = 1.0,
-        /// Mean connections of a group; 0 for no groups.
+        /// Mean number of connections per group; 0 for no groups.
         group_size: f64 = 8.0,
-        /// Skew of group sizes.
+        /// Zipf exponent of the group sizes.
         group_zipf: f64 = 0.7,
-        /// Retries of one try inside its deadline.
+        /// Retries of a client's request within its deadline.
         retries: u32 = 1,
-        /// Wait before a retry, ms; doubled each time.
+        /// Wait before the first retry, ms; doubled for each further retry.
         backoff_ms: f64 = 60.0,
-        /// Clients that were refused, failed or cut off come again until they are done.
+        /// Whether clients connect again after a rejection, a failure or a broken connection.
         comes_back: bool = true,
-        /// Most time until a client is back after a break, ms; the least is 50.
+        /// Longest time until a client reconnects after its connection broke, ms; the shortest is 50.
         rejoin_ms: f64 = 1900.0,
-        /// Time until a moved client is back, ms.
+        /// Mean time until a migrated client reconnects, ms.
         move_ms: f64 = 60.0,
-        /// Share of clients that heed the wait they are told.
+        /// Fraction of clients that honour the retry delay of a rejection.
         honour: f64 = 0.9,
-        /// Clients at once; arrivals beyond are counted as turned away. Bounds what the world holds.
+        /// Maximum number of clients; further arrivals are counted as turned away. Bounds memory use.
         most: u32 = 1_000_000,
-        /// Messages: one every so many seconds.
+        /// Seconds between two messages of a connection.
         message_every_s: f64 = 2.0,
     }
 }
 
 section! {
-    /// The rules' figures, as they are told to the nodes.
+    /// Parameters of the rules, as the nodes are configured.
     Rules {
-        /// Nothing new to a transcriber so long after it was told to drain, ms.
+        /// Time for which a node may send attempts to a server after it learns that the server drains, ms.
         drain_grace_ms: f64 = 500.0,
-        /// A final answer may come so long after the deadline, ms.
+        /// Tolerated delay of a final answer after the deadline, ms.
         answer_slack_ms: f64 = 20.0,
-        /// The told share of its capacity that a cold one starts with, at the least.
+        /// Minimum fraction of its capacity that a server has when it starts, as configured.
         start_capacity: f64 = 0.3,
-        /// The told time until it is warm, s.
+        /// Duration of the warm-up as configured, s.
         cold_s: f64 = 8.7,
-        /// A cold one falls over at this multiple of what it can do.
+        /// Multiple of its capacity for new connections at which a server in slow start fails, if it lasts `fall_s`.
         fall_multiple: f64 = 3.0,
-        /// ... kept up so long, s.
+        /// Duration of the overload after which a server in slow start fails, s.
         fall_s: f64 = 3.0,
     }
 }
 
 section! {
-    /// Parts of the figure for service and what is taken off it.
+    /// Weights of the parts of the service score, and penalties that are subtracted from it.
     Goal {
         /// Weight of the whole run.
         whole: f64 = 0.55,
-        /// Weight of the worst 10 s.
+        /// Weight of the worst 10 seconds.
         worst_window: f64 = 0.15,
         /// Weight of the worst class.
         worst_class: f64 = 0.3,
-        /// Taken off for work wasted, as much as was asked for.
+        /// Penalty if all work is wasted; proportionally less for a fraction of it.
         waste: f64 = 0.25,
-        /// ... for each first try crossing zones once.
+        /// Penalty per cross-zone attempt, relative to the number of first requests.
         cross_zone: f64 = 0.1,
-        /// ... for each client moved once.
+        /// Penalty per migration, relative to the number of first requests.
         moves: f64 = 0.022,
     }
 }
@@ -228,31 +228,31 @@
     Class {
         /// Its name.
         name: String = "live-captions".into(),
-        /// Its share of new connections, relative to the others'.
+        /// Share of new connections, relative to the shares of the other classes.
         share: f64 = 1.0,
-        /// Its load relative to the usual.
+        /// Load of a connection, relative to the other classes.
         load: f64 = 1.0,
-        /// Its life relative to the usual.
+        /// Connection lifetime, as a multiple of `clients.life_s`.
         life: f64 = 1.0,
-        /// Sigma of the log-normal of loads from connection to connection.
+        /// Sigma of the log-normal distribution of the load between connections.
         load_sigma: f64 = 0.7,
-        /// ... and over a connection's life.
+        /// Sigma of the log-normal distribution of the load over the lifetime of a connection.
         swing_sigma: f64 = 0.5,
-        /// Mean seconds between changes of load; 0 for none.
+        /// Mean seconds between load changes; 0 for none.
         change_s: f64 = 10.0,
-        /// Share of the time without load.
+        /// Fraction of the time without load.
         idle: f64 = 0.2,
-        /// Work of a set-up in ms on a core of speed 1.
+        /// Mean work of a setup in ms on a core of speed 1.
         work_ms: f64 = 8.0,
-        /// Coefficient of variation of that work: 1 is exponential, 0 fixed, others gamma.
+        /// Coefficient of variation of that work: 0 is constant, 1 exponential, other values gamma.
         work_cv: f64 = 1.0,
-        /// Set-ups are wanted within, ms.
+        /// Setup objective, ms.
         aim_ms: f64 = 300.0,
-        /// A try is given up after, ms.
+        /// Deadline of a request, ms.
         deadline_ms: f64 = 1800.0,
-        /// Messages are wanted within, ms.
+        /// Message delay objective, ms.
         message_aim_ms: f64 = 150.0,
-        /// Worth of a second.
+        /// Weight of a connection-second in the service score.
         worth: f64 = 1.0,
     }
 }
--- a/crates/simulator/src/server_model.rs
+++ b/crates/simulator/src/server_model.rs
@@ -4,7 +4,7 @@
 //! capacity piles up. Set-ups are single jobs with slots and a waiting room. The model is the project's own.
 
 use crate::event_queue::{as_seconds, Incarnation, Moment};
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{MachineKind, Scenario};
 use lupincrank_placement::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -72,7 +72,7 @@
     groups: BTreeMap<u32, u32>,
     touched: Moment,
     speed: f64,
-    model: Kind,
+    model: MachineKind,
     group_load: f64,
     message_s: f64,
     per_core: f64,
@@ -206,7 +206,7 @@
     }
 
     /// The kind of machine.
-    pub fn model(&self) -> &Kind {
+    pub fn model(&self) -> &MachineKind {
         &self.model
     }
 
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -132,7 +132,7 @@
     pub(super) fn establish_initial_connections(&mut self) {
         let count = self
             .scenario
-            .standing()
+            .mean_connection_count()
             .min(f64::from(self.scenario.clients.most)) as u64;
         for _ in 0..count {
             self.serial += 1;
--- a/crates/simulator/src/world/observations.rs
+++ b/crates/simulator/src/world/observations.rs
@@ -2,7 +2,7 @@
 
 use super::{Phase, World};
 use crate::event_queue::{Incarnation, Moment, SimulationEvent, SECOND};
-use crate::scenario::Delays;
+use crate::scenario::DelayVisibility;
 use crate::server_model::ServerState;
 use lupincrank_placement::{Event, RequestId};
 use std::time::Duration;
@@ -33,7 +33,9 @@
             set_ups.pop_front();
         }
         set_ups.push_back(took);
-        if self.scenario.nodes.delays != Delays::Sockets || sorted.len() < MIN_REMEMBERED_SETUPS {
+        if self.scenario.nodes.delays != DelayVisibility::Sockets
+            || sorted.len() < MIN_REMEMBERED_SETUPS
+        {
             return;
         }
         let middle = sorted.len() / 2;
@@ -47,7 +49,7 @@
     /// Once a second nodes tell how long messages take, of one connection for each transcriber that is late, and
     /// once more when it no longer is.
     pub(super) fn observe(&mut self) {
-        if self.scenario.nodes.delays != Delays::All {
+        if self.scenario.nodes.delays != DelayVisibility::All {
             return;
         }
         let least = self
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -137,7 +137,7 @@
     assert!(
         wrong
             .iter()
-            .any(|wrong| wrong.place == place && wrong.what.contains(what)),
+            .any(|wrong| wrong.location == place && wrong.message.contains(what)),
         "{wrong:?}"
     );
 }
@@ -180,7 +180,7 @@
     let others = [PolicyName::TwoChoices];
     let worst = search::find_worst(&small(), 5, 8, &others, || ()).expect("a day");
     let (before, gap) = (worst.scenario.faults.len(), worst.gap);
-    let small = search::shrink(worst, &others);
+    let small = search::simplify(worst, &others);
     assert!(
         small.scenario.faults.len() <= before && small.gap >= gap * 0.8,
         "{small:?}"
