--- a/crates/adapter/src/input.rs
+++ b/crates/adapter/src/input.rs
@@ -211,7 +211,7 @@
         })
     }
 
-    /// An observation of an established connection: its load in millionths of a core, or a message delay in milliseconds.
+    /// An observation of an established connection: load in millionths of a core, or message delay in milliseconds.
     fn observation(self) -> Result<Option<Event>, MessageError> {
         let request = request_id(self.request)?;
         let reported = required(self.value, "Value")?;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,9 +1,9 @@
 //! Hosts any number of balancers for an external simulator over a line protocol: events on standard input, actions on
 //! standard output.
 //!
-//! The input is a sequence of batches, each from a `TICK` line to an `EOB` line, with one JSON object per line. The reply to
-//! a batch is the actions that its events caused, followed by a `YIELD` line. The program ends at the end of the input, or
-//! with an error at the first invalid line.
+//! The input is a sequence of batches, each from a `TICK` line to an `EOB` line, with one JSON object per line. The
+//! reply to a batch is the actions that its events caused, followed by a `YIELD` line. The program ends at the end of
+//! the input, or with an error at the first invalid line.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator/src/cli/options.rs
+++ b/crates/simulator/src/cli/options.rs
@@ -55,7 +55,7 @@
     },
 }
 
-/// Returns the parser of the whole command line.
+/// Returns the parser of the command line.
 pub(crate) fn options() -> OptionParser<Command> {
     let check = check_command();
     let run = run_command();
--- a/crates/simulator/src/experiments/mod.rs
+++ b/crates/simulator/src/experiments/mod.rs
@@ -15,7 +15,7 @@
 pub struct KeyMetrics {
     /// Service score from 0 to 1.
     pub service: f64,
-    /// Fraction of the demand over the whole run that was served within its objectives, weighted by class.
+    /// Fraction of the demand that was served within its objectives, weighted by class.
     pub whole: f64,
     /// The same fraction in the worst 10 s.
     pub worst_window: f64,
--- a/crates/simulator/src/experiments/search.rs
+++ b/crates/simulator/src/experiments/search.rs
@@ -11,7 +11,7 @@
 
 /// Minimum fraction of the gap that a simplified scenario must retain.
 const MIN_RETAINED_GAP_RATIO: f64 = 0.8;
-/// Maximum number of simplification rounds. Each round tries every step and keeps one.
+/// Maximum number of simplification rounds. Each round tries every step and applies the first that is good enough.
 const MAX_SIMPLIFICATION_ROUNDS: usize = 6;
 
 /// A scenario and the gap of the placement module to the best baseline.
@@ -145,33 +145,33 @@
 /// Returns the scenarios that are one step simpler, those with the largest steps first.
 fn simplifications(scenario: &Scenario) -> Vec<Scenario> {
     let mut simplified = Vec::new();
-    let mut try_step = |change: &dyn Fn(&mut Scenario)| {
+    let mut add_if_changed = |change: &dyn Fn(&mut Scenario)| {
         let mut simpler = scenario.clone();
         change(&mut simpler);
         if simpler != *scenario {
             simplified.push(simpler);
         }
     };
-    try_step(&|simpler| simpler.faults.clear());
+    add_if_changed(&|simpler| simpler.faults.clear());
     for index in 0..scenario.faults.len() {
-        try_step(&|simpler| {
+        add_if_changed(&|simpler| {
             simpler.faults.remove(index);
         });
     }
-    try_step(&|simpler| simpler.fleet.transcribers = (simpler.fleet.transcribers / 2).max(2));
-    try_step(&|simpler| simpler.nodes.count = 1);
-    try_step(&|simpler| simpler.class.truncate(1));
-    try_step(&|simpler| simpler.fleet.kind.truncate(1));
-    try_step(&|simpler| simpler.length_s = (simpler.length_s / 2.0).max(20.0));
-    try_step(&|simpler| simpler.clients.group_size = 0.0);
-    try_step(&|simpler| simpler.clients.start_skew = 0.0);
-    try_step(&|simpler| {
+    add_if_changed(&|simpler| simpler.fleet.transcribers = (simpler.fleet.transcribers / 2).max(2));
+    add_if_changed(&|simpler| simpler.nodes.count = 1);
+    add_if_changed(&|simpler| simpler.class.truncate(1));
+    add_if_changed(&|simpler| simpler.fleet.kind.truncate(1));
+    add_if_changed(&|simpler| simpler.length_s = (simpler.length_s / 2.0).max(20.0));
+    add_if_changed(&|simpler| simpler.clients.group_size = 0.0);
+    add_if_changed(&|simpler| simpler.clients.start_skew = 0.0);
+    add_if_changed(&|simpler| {
         for kind in &mut simpler.fleet.kind {
             kind.pause_every_s = 0.0;
             kind.error_rate = 0.0;
             kind.speed_cv = 0.0;
         }
     });
-    try_step(&|simpler| simpler.net.zones = 1);
+    add_if_changed(&|simpler| simpler.net.zones = 1);
     simplified
 }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -21,7 +21,7 @@
 /// The version of the format that this build reads and writes.
 pub const VERSION: u32 = 1;
 
-/// A whole scenario.
+/// A scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
--- a/crates/simulator/src/scenario/sections.rs
+++ b/crates/simulator/src/scenario/sections.rs
@@ -140,7 +140,7 @@
         silent_notice_s: f64 = 9.0,
         /// Seconds until discovery learns that a process has started.
         add_s: f64 = 1.0,
-        /// Longest delay of a change notification to a node, ms; drawn anew for each node and change.
+        /// Longest delay of a change notification to a node, ms; drawn for each node and change.
         spread_ms: f64 = 50.0,
         /// Seconds by which the start times that discovery reports are ahead.
         clock_ahead_s: f64 = 0.0,
@@ -188,15 +188,15 @@
 }
 
 section! {
-    /// Parameters of the rules, as the nodes are configured.
+    /// Parameters of the rules. The nodes' settings contain them too.
     Rules {
         /// Time for which a node may send attempts to a server after it learns that the server drains, ms.
         drain_grace_ms: f64 = 500.0,
         /// Tolerated delay of a final answer after the deadline, ms.
         answer_slack_ms: f64 = 20.0,
-        /// Minimum fraction of its capacity that a server has when it starts, as configured.
+        /// Minimum fraction of its capacity that a server has when it starts, in the nodes' settings.
         start_capacity: f64 = 0.3,
-        /// Duration of the warm-up as configured, s.
+        /// Duration of the warm-up in the nodes' settings, s.
         cold_s: f64 = 8.7,
         /// Multiple of its capacity for new connections at which a server in slow start fails, if it lasts `fall_s`.
         fall_multiple: f64 = 3.0,
