--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,6 +1,6 @@
 //! The four rules, checked on every event with the true state, and the trace of each violation.
 
-use crate::event_queue::{as_seconds, Moment};
+use crate::event_queue::{as_seconds, SimTime};
 use serde::Serialize;
 use std::collections::VecDeque;
 
@@ -41,9 +41,9 @@
 #[derive(Clone, Copy)]
 pub struct TraceEntry {
     /// When.
-    pub at: Moment,
+    pub time: SimTime,
     /// What.
-    pub what: &'static str,
+    pub event: &'static str,
     /// The node.
     pub node: u32,
     /// The request, 0 for none.
@@ -81,12 +81,12 @@
     }
 
     /// Reports a violation with the last events of its subject.
-    pub fn report(&mut self, rule: Rule, at: Moment, subject: TraceSubject, what: String) {
+    pub fn report(&mut self, rule: Rule, time: SimTime, subject: TraceSubject, what: String) {
         self.violation_count += 1;
         if self.violations.len() >= MAX_DETAILED_VIOLATIONS {
             return;
         }
-        let about = |entry: &&TraceEntry| match subject {
+        let is_about_subject = |entry: &&TraceEntry| match subject {
             TraceSubject::Request(request) => entry.request == request,
             TraceSubject::Server(server) => entry.server == Some(server),
         };
@@ -94,29 +94,29 @@
             .entries
             .iter()
             .rev()
-            .filter(about)
+            .filter(is_about_subject)
             .take(SHOWN_TRACE_ENTRIES)
-            .map(show)
+            .map(format_entry)
             .collect();
         trace.reverse();
         self.violations.push(Violation {
             rule,
-            at_s: as_seconds(at),
+            at_s: as_seconds(time),
             what,
             trace,
         });
     }
 }
 
-fn show(entry: &TraceEntry) -> String {
+fn format_entry(entry: &TraceEntry) -> String {
     let server = entry
         .server
         .map_or(String::new(), |server| format!(" transcriber {server}"));
     format!(
         "{:.6} node {} request {:x}{server}: {}",
-        as_seconds(entry.at),
+        as_seconds(entry.time),
         entry.node,
         entry.request,
-        entry.what
+        entry.event
     )
 }
--- a/crates/simulator/src/cli/commands.rs
+++ b/crates/simulator/src/cli/commands.rs
@@ -84,7 +84,7 @@
 ) -> Result<(), CommandError> {
     let scenario = read_scenario(file)?;
     let begun = Instant::now();
-    let outcome = world::play(&scenario, seed, policy);
+    let outcome = world::run_scenario(&scenario, seed, policy);
     let elapsed_s = begun.elapsed().as_secs_f64();
     print_summary(&outcome, elapsed_s);
     print_violations(&outcome);
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -5,24 +5,24 @@
 use std::collections::BinaryHeap;
 
 /// A moment of simulated time, in nanoseconds from the start. The machine's clock never enters.
-pub type Moment = u64;
+pub type SimTime = u64;
 
 /// Nanoseconds in a second.
-pub const SECOND: Moment = 1_000_000_000;
+pub const SECOND: SimTime = 1_000_000_000;
 
 /// A span given in seconds.
-pub fn seconds(span: f64) -> Moment {
-    (span.max(0.0) * SECOND as f64) as Moment
+pub fn seconds(duration: f64) -> SimTime {
+    (duration.max(0.0) * SECOND as f64) as SimTime
 }
 
 /// A span given in milliseconds.
-pub fn millis(span: f64) -> Moment {
-    seconds(span / 1e3)
+pub fn millis(duration: f64) -> SimTime {
+    seconds(duration / 1e3)
 }
 
 /// A moment in seconds.
-pub fn as_seconds(at: Moment) -> f64 {
-    at as f64 / SECOND as f64
+pub fn as_seconds(time: SimTime) -> f64 {
+    time as f64 / SECOND as f64
 }
 
 /// Counts the starts of a process or client: what was scheduled for an earlier incarnation is void.
@@ -64,11 +64,11 @@
     /// A transcriber pauses.
     ServerPause(u32, Incarnation),
     /// Discovery learns of a change.
-    DiscoveryLearns(u32, Incarnation, Change),
+    DiscoveryUpdated(u32, Incarnation, ServerChange),
     /// A node is notified of changed endpoints.
     NodeNotified(u32, Incarnation),
     /// A call to discovery ends; whether it was answered.
-    WatchAnswered(u32, Incarnation, bool),
+    WatchCallEnded(u32, Incarnation, bool),
     /// A fault begins, or takes its next step.
     FaultStep(u32, u32),
     /// A fault ends.
@@ -84,37 +84,37 @@
     /// The front adds or removes a node.
     FrontUpdated(u32, Incarnation, bool),
     /// Nodes notice that a server is unresponsive.
-    SilenceNoticed(u32, Incarnation),
+    UnresponsiveDetected(u32, Incarnation),
 }
 
 /// A change of a server that discovery learns of.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum ServerChange {
     /// It runs.
-    Runs,
+    Started,
     /// It drains.
-    Drains,
+    Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// Events in the order of time; of those at one moment the first put in comes first.
 #[derive(Default)]
-pub struct Queue {
+pub struct EventQueue {
     heap: BinaryHeap<Reverse<Entry>>,
     serial: u64,
     peak: usize,
 }
 
 struct Entry {
-    at: Moment,
+    time: SimTime,
     serial: u64,
     event: SimulationEvent,
 }
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.serial) == (other.at, other.serial)
+        (self.time, self.serial) == (other.time, other.serial)
     }
 }
 impl Eq for Entry {}
@@ -125,16 +125,16 @@
 }
 impl Ord for Entry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.serial).cmp(&(other.at, other.serial))
+        (self.time, self.serial).cmp(&(other.time, other.serial))
     }
 }
 
-impl Queue {
+impl EventQueue {
     /// Schedules an event. Costs the logarithm of what is there.
-    pub fn schedule(&mut self, at: Moment, event: SimulationEvent) {
+    pub fn schedule(&mut self, time: SimTime, event: SimulationEvent) {
         self.serial += 1;
         self.heap.push(Reverse(Entry {
-            at,
+            time,
             serial: self.serial,
             event,
         }));
@@ -142,13 +142,13 @@
     }
 
     /// Removes the next event up to a moment.
-    pub fn pop_until(&mut self, end: Moment) -> Option<(Moment, SimulationEvent)> {
-        if self.heap.peek().is_none_or(|next| next.0.at > end) {
+    pub fn pop_until(&mut self, end: SimTime) -> Option<(SimTime, SimulationEvent)> {
+        if self.heap.peek().is_none_or(|next| next.0.time > end) {
             return None;
         }
         self.heap
             .pop()
-            .map(|Reverse(entry)| (entry.at, entry.event))
+            .map(|Reverse(entry)| (entry.time, entry.event))
     }
 
     /// Returns the most events that ever waited.
--- a/crates/simulator/src/experiments/compare.rs
+++ b/crates/simulator/src/experiments/compare.rs
@@ -3,7 +3,7 @@
 use super::{Estimate, Figures};
 use crate::policy::PolicyName;
 use crate::scenario::Scenario;
-use crate::world::play;
+use crate::world::run_scenario;
 use rayon::prelude::*;
 use serde::Serialize;
 use std::fmt::Write;
@@ -37,7 +37,7 @@
     let figures: Vec<Figures> = jobs
         .par_iter()
         .map(|(name, seed)| {
-            let figures = Figures::of(&play(scenario, *seed, *name));
+            let figures = Figures::of(&run_scenario(scenario, *seed, *name));
             done();
             figures
         })
--- a/crates/simulator/src/experiments/search.rs
+++ b/crates/simulator/src/experiments/search.rs
@@ -4,7 +4,7 @@
 use crate::policy::PolicyName;
 use crate::population::stream;
 use crate::scenario::{Fault, FaultKind, Scenario, SearchRecord};
-use crate::world::play;
+use crate::world::run_scenario;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rayon::prelude::*;
@@ -26,10 +26,10 @@
 /// Plays the module and the others on one scenario.
 pub fn evaluate(mut scenario: Scenario, seed: u64, others: &[PolicyName]) -> Candidate {
     scenario.found = None;
-    let module = play(&scenario, seed, PolicyName::Module);
+    let module = run_scenario(&scenario, seed, PolicyName::Module);
     let best = others
         .iter()
-        .map(|name| (*name, play(&scenario, seed, *name).service));
+        .map(|name| (*name, run_scenario(&scenario, seed, *name).service));
     let (against, against_service) = best
         .max_by(|a, b| a.1.total_cmp(&b.1))
         .unwrap_or((PolicyName::Module, module.service));
--- a/crates/simulator/src/experiments/sweep.rs
+++ b/crates/simulator/src/experiments/sweep.rs
@@ -3,7 +3,7 @@
 use super::{Estimate, Figures};
 use crate::policy::PolicyName;
 use crate::scenario::{self, Scenario, ScenarioError};
-use crate::world::play;
+use crate::world::run_scenario;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
@@ -164,7 +164,7 @@
     }
     let row = |(place, name, scenario): &(usize, PolicyName, Scenario)| {
         let run = |seed: u64| {
-            let figures = Figures::of(&play(scenario, seed, *name));
+            let figures = Figures::of(&run_scenario(scenario, seed, *name));
             done();
             figures
         };
--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -1,56 +1,56 @@
 //! Metrics of a run: service by class and by second, percentiles, imbalance, migrations, wasted work.
 
 use crate::checker::Violation;
-use crate::event_queue::{as_seconds, Moment};
+use crate::event_queue::{as_seconds, SimTime};
 use crate::scenario::{Goal, Scenario};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 /// Length of the window of which the worst one counts, in seconds.
-const WINDOW: usize = 10;
+const WINDOW_S: usize = 10;
 
 /// Collects metrics while the simulation runs. Memory grows with its length and its classes only.
 pub struct RunMetrics {
     /// Connection-seconds wanted and served well, by class and second.
-    wanted: Vec<Vec<f64>>,
+    demand: Vec<Vec<f64>>,
     served: Vec<Vec<f64>>,
-    messages: Vec<Histogram<u64>>,
-    message_parts: Vec<f64>,
-    set_ups: Histogram<u64>,
+    message_delays: Vec<Histogram<u64>>,
+    message_fractions: Vec<f64>,
+    setup_durations: Histogram<u64>,
     /// Waits of set-ups for a slot.
     pub setup_waits: SetupWaits,
     imbalance: RunningMean,
-    used: RunningMean,
+    utilization: RunningMean,
     /// First tries, all tries of clients, attempts, and attempts across zones.
-    pub firsts: u64,
+    pub first_requests: u64,
     /// All tries of clients.
-    pub tries: u64,
+    pub requests: u64,
     /// Attempts.
     pub attempts: u64,
     /// Attempts that went to another zone.
-    pub crossings: u64,
+    pub cross_zone_attempts: u64,
     /// Moves that nodes asked for.
-    pub moves: u64,
+    pub migrations: u64,
     /// Clients that a draining transcriber sent away.
-    pub sent_away: u64,
+    pub drained_clients: u64,
     /// Connections that were cut off.
-    pub cut: u64,
+    pub broken_connections: u64,
     /// Refusals, failures, and attempts by how they ended badly.
-    pub refused: u64,
+    pub failed_requests: u64,
     /// Attempts turned away as full.
-    pub full: u64,
+    pub rejected_attempts: u64,
     /// Attempts that did not come up.
-    pub no_connect: u64,
+    pub failed_connects: u64,
     /// Attempts that timed out.
-    pub timed_out: u64,
+    pub timed_out_attempts: u64,
     /// Arrivals turned away since the world holds as many as it may.
-    pub turned_away: u64,
+    pub dropped_arrivals: u64,
     /// Work of set-ups.
     pub setup_work: SetupWork,
     /// Transcribers that fell over.
-    pub fallen: u64,
-    length: f64,
-    lines: Vec<Sample>,
+    pub overloaded_servers: u64,
+    length_s: f64,
+    timeline: Vec<Sample>,
 }
 
 /// Waits of set-ups for a slot.
@@ -194,8 +194,9 @@
         .unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
 
-fn percentiles(from: &Histogram<u64>) -> [f64; 4] {
-    [50.0, 90.0, 99.0, 99.9].map(|part| from.value_at_percentile(part) as f64 / 1e3)
+fn percentiles(histogram: &Histogram<u64>) -> [f64; 4] {
+    [50.0, 90.0, 99.0, 99.9]
+        .map(|percentile| histogram.value_at_percentile(percentile) as f64 / 1e3)
 }
 
 /// The mean of `count` values, 0 of none.
@@ -212,135 +213,141 @@
     pub fn new(scenario: &Scenario) -> Self {
         let (classes, seconds) = (scenario.class.len(), scenario.length_s.ceil() as usize);
         RunMetrics {
-            wanted: vec![vec![0.0; seconds]; classes],
+            demand: vec![vec![0.0; seconds]; classes],
             served: vec![vec![0.0; seconds]; classes],
-            messages: (0..classes).map(|_| histogram()).collect(),
-            message_parts: vec![0.0; classes],
-            set_ups: histogram(),
+            message_delays: (0..classes).map(|_| histogram()).collect(),
+            message_fractions: vec![0.0; classes],
+            setup_durations: histogram(),
             setup_waits: SetupWaits::default(),
             imbalance: RunningMean::default(),
-            used: RunningMean::default(),
-            firsts: 0,
-            tries: 0,
+            utilization: RunningMean::default(),
+            first_requests: 0,
+            requests: 0,
             attempts: 0,
-            crossings: 0,
-            moves: 0,
-            sent_away: 0,
-            cut: 0,
-            refused: 0,
-            full: 0,
-            no_connect: 0,
-            timed_out: 0,
-            turned_away: 0,
+            cross_zone_attempts: 0,
+            migrations: 0,
+            drained_clients: 0,
+            broken_connections: 0,
+            failed_requests: 0,
+            rejected_attempts: 0,
+            failed_connects: 0,
+            timed_out_attempts: 0,
+            dropped_arrivals: 0,
             setup_work: SetupWork::default(),
-            fallen: 0,
-            length: scenario.length_s,
-            lines: Vec::new(),
+            overloaded_servers: 0,
+            length_s: scenario.length_s,
+            timeline: Vec::new(),
         }
     }
 
     /// Records that a client wants a connection from one moment to another.
-    pub fn record_demand(&mut self, class: usize, from: Moment, until: Moment) {
+    pub fn record_demand(&mut self, class: usize, from: SimTime, until: SimTime) {
         self.add_demand(class, from, until, 1.0);
     }
 
     /// Withdraws what `record_demand` counted from here on, as a client leaves early.
-    pub fn withdraw_demand(&mut self, class: usize, from: Moment, until: Moment) {
+    pub fn withdraw_demand(&mut self, class: usize, from: SimTime, until: SimTime) {
         self.add_demand(class, from, until, -1.0);
     }
 
-    fn add_demand(&mut self, class: usize, from: Moment, until: Moment, sign: f64) {
-        let (from, until) = (as_seconds(from), as_seconds(until).min(self.length));
-        let Some(seconds) = self.wanted.get_mut(class) else {
+    fn add_demand(&mut self, class: usize, from: SimTime, until: SimTime, sign: f64) {
+        let (from, until) = (as_seconds(from), as_seconds(until).min(self.length_s));
+        let Some(seconds) = self.demand.get_mut(class) else {
             return;
         };
-        let mut at = from;
-        while at < until {
-            let next = (at.floor() + 1.0).min(until);
-            if let Some(second) = seconds.get_mut(at as usize) {
-                *second += sign * (next - at);
+        let mut time = from;
+        while time < until {
+            let next = (time.floor() + 1.0).min(until);
+            if let Some(second) = seconds.get_mut(time as usize) {
+                *second += sign * (next - time);
             }
-            at = next;
+            time = next;
         }
     }
 
     /// Records connection-seconds of a class that were served well up to now.
-    pub fn record_service(&mut self, class: usize, now: Moment, connection_seconds: f64) {
+    pub fn record_service(&mut self, class: usize, now: SimTime, connection_seconds: f64) {
         let second = as_seconds(now.saturating_sub(1)) as usize;
-        if let Some(at) = self
+        if let Some(served) = self
             .served
             .get_mut(class)
             .and_then(|seconds| seconds.get_mut(second))
         {
-            *at += connection_seconds;
+            *served += connection_seconds;
         }
     }
 
     /// Records the delay of some messages of a class, in seconds.
-    pub fn record_message(&mut self, class: usize, took: f64, messages: f64) {
-        let whole = self.message_parts[class] + messages;
-        self.message_parts[class] = whole.fract();
-        self.messages[class].saturating_record_n((took * 1e6).max(1.0) as u64, whole as u64);
+    pub fn record_message(&mut self, class: usize, delay_s: f64, messages: f64) {
+        let total = self.message_fractions[class] + messages;
+        self.message_fractions[class] = total.fract();
+        self.message_delays[class]
+            .saturating_record_n((delay_s * 1e6).max(1.0) as u64, total as u64);
     }
 
     /// Records the duration of a set-up.
-    pub fn record_setup(&mut self, took: Moment) {
-        self.set_ups.saturating_record((took / 1000).max(1));
+    pub fn record_setup(&mut self, duration: SimTime) {
+        self.setup_durations
+            .saturating_record((duration / 1000).max(1));
     }
 
     /// Records a second's sample of the fleet; the loads are kept if `keeps` says so.
     pub fn record_sample(
         &mut self,
-        now: Moment,
-        used: Vec<Option<f64>>,
-        standing: u64,
-        keeps: bool,
+        now: SimTime,
+        utilizations: Vec<Option<f64>>,
+        connections: u64,
+        keeps_servers: bool,
     ) {
         let (mut sum, mut squares, mut count) = (0.0, 0.0, 0.0);
-        for one in used.iter().flatten() {
-            sum += one;
-            squares += one * one;
+        for utilization in utilizations.iter().flatten() {
+            sum += utilization;
+            squares += utilization * utilization;
             count += 1.0;
         }
         let mean = sum / f64::max(count, 1.0);
-        let spread = (squares / f64::max(count, 1.0) - mean * mean)
+        let deviation = (squares / f64::max(count, 1.0) - mean * mean)
             .max(0.0)
             .sqrt();
-        let imbalance = if mean > 1e-9 { spread / mean } else { 0.0 };
+        let imbalance = if mean > 1e-9 { deviation / mean } else { 0.0 };
         self.imbalance.add(imbalance);
-        self.used.add(mean);
-        let used = if keeps { used } else { Vec::new() };
-        self.lines.push(Sample {
+        self.utilization.add(mean);
+        let utilizations = if keeps_servers {
+            utilizations
+        } else {
+            Vec::new()
+        };
+        self.timeline.push(Sample {
             at_s: as_seconds(now),
-            used,
-            standing,
+            used: utilizations,
+            standing: connections,
             imbalance,
             service: 0.0,
         });
     }
 
     /// The share of what was wanted in some seconds that was served well, by worth.
-    fn share(&self, worths: &[f64], seconds: std::ops::Range<usize>) -> f64 {
+    fn served_ratio(&self, worths: &[f64], seconds: std::ops::Range<usize>) -> f64 {
         let sum = |counts: &[Vec<f64>]| -> f64 {
             let class = |(class, worth): (usize, &f64)| {
                 counts[class]
                     .get(seconds.clone())
-                    .map_or(0.0, |part| part.iter().sum::<f64>())
+                    .map_or(0.0, |values| values.iter().sum::<f64>())
                     * worth
             };
             worths.iter().enumerate().map(class).sum()
         };
-        let wanted = sum(&self.wanted);
-        if wanted <= 0.0 {
+        let demand = sum(&self.demand);
+        if demand <= 0.0 {
             return 1.0;
         }
-        (sum(&self.served) / wanted).min(1.0)
+        (sum(&self.served) / demand).min(1.0)
     }
 
     /// What each class got over the whole run.
     fn by_class(&self, scenario: &Scenario) -> Vec<ClassOutcome> {
         let classes = scenario.class.len();
-        let seconds = self.wanted.first().map_or(0, Vec::len);
+        let seconds = self.demand.first().map_or(0, Vec::len);
         let only = |class: usize| -> Vec<f64> {
             (0..classes)
                 .map(|other| if other == class { 1.0 } else { 0.0 })
@@ -352,38 +359,38 @@
             .enumerate()
             .map(|(class, named)| ClassOutcome {
                 name: named.name.clone(),
-                service: self.share(&only(class), 0..seconds),
-                wanted_s: self.wanted[class].iter().sum(),
-                message_ms: percentiles(&self.messages[class]),
+                service: self.served_ratio(&only(class), 0..seconds),
+                wanted_s: self.demand[class].iter().sum(),
+                message_ms: percentiles(&self.message_delays[class]),
             })
             .collect()
     }
 
     /// What is taken off the service for wasted work, attempts across zones and moves.
     fn penalty(&self, goal: &Goal) -> f64 {
-        let firsts = (self.firsts as f64).max(1.0);
+        let firsts = (self.first_requests as f64).max(1.0);
         goal.waste * self.setup_work.wasted_s / self.setup_work.total_s.max(1e-9)
-            + goal.cross_zone * self.crossings as f64 / firsts
-            + goal.moves * self.moves as f64 / firsts
+            + goal.cross_zone * self.cross_zone_attempts as f64 / firsts
+            + goal.moves * self.migrations as f64 / firsts
     }
 
     /// The time line, with the service of each second filled in.
     fn take_timeline(&mut self, worths: &[f64]) -> Vec<Sample> {
-        let mut timeline = std::mem::take(&mut self.lines);
+        let mut timeline = std::mem::take(&mut self.timeline);
         for sample in &mut timeline {
             let second = (sample.at_s - 1.0).max(0.0) as usize;
-            sample.service = self.share(worths, second..second + 1);
+            sample.service = self.served_ratio(worths, second..second + 1);
         }
         timeline
     }
 
     /// Turns the counts into the result of the run.
-    pub fn finish(mut self, scenario: &Scenario, end: RunSummary) -> Outcome {
+    pub fn finish(mut self, scenario: &Scenario, summary: RunSummary) -> Outcome {
         let worths: Vec<f64> = scenario.class.iter().map(|class| class.worth).collect();
-        let seconds = self.wanted.first().map_or(0, Vec::len);
-        let whole = self.share(&worths, 0..seconds);
-        let windows =
-            (0..=seconds.saturating_sub(WINDOW)).map(|at| self.share(&worths, at..at + WINDOW));
+        let seconds = self.demand.first().map_or(0, Vec::len);
+        let whole = self.served_ratio(&worths, 0..seconds);
+        let windows = (0..=seconds.saturating_sub(WINDOW_S))
+            .map(|at| self.served_ratio(&worths, at..at + WINDOW_S));
         let worst_window = windows.fold(whole, f64::min);
         let by_class = self.by_class(scenario);
         let worst_class = by_class
@@ -392,41 +399,41 @@
             .fold(1.0, f64::min);
         let taken_off = self.penalty(&scenario.goal);
         let goal = &scenario.goal;
-        let mix =
+        let weighted =
             goal.whole * whole + goal.worst_window * worst_window + goal.worst_class * worst_class;
         let timeline = self.take_timeline(&worths);
         Outcome {
             scenario: scenario.name.clone(),
-            seed: end.seed,
-            policy: end.policy,
-            upper_bound: end.upper_bound,
-            service: (mix - taken_off).max(0.0),
+            seed: summary.seed,
+            policy: summary.policy,
+            upper_bound: summary.upper_bound,
+            service: (weighted - taken_off).max(0.0),
             whole,
             worst_window,
             worst_class,
             taken_off,
-            rules_broken: end.broken,
-            times_broken: end.times_broken,
-            events: end.events,
-            peak_queue: end.peak_queue,
+            rules_broken: summary.violations,
+            times_broken: summary.violation_count,
+            events: summary.events,
+            peak_queue: summary.peak_queue,
             imbalance: self.imbalance.mean(),
-            used: self.used.mean(),
-            moves: self.moves,
+            used: self.utilization.mean(),
+            moves: self.migrations,
             by_class,
-            set_up_ms: percentiles(&self.set_ups),
+            set_up_ms: percentiles(&self.setup_durations),
             set_up_wait_ms: mean(self.setup_waits.total_s, self.setup_waits.started) * 1e3,
             set_up_waited: mean(self.setup_waits.delayed as f64, self.setup_waits.started),
-            firsts: self.firsts,
-            tries: self.tries,
+            firsts: self.first_requests,
+            tries: self.requests,
             attempts: self.attempts,
-            refused: self.refused,
-            full: self.full,
-            no_connect: self.no_connect,
-            timed_out: self.timed_out,
-            cut: self.cut,
-            sent_away: self.sent_away,
-            fallen: self.fallen,
-            turned_away: self.turned_away,
+            refused: self.failed_requests,
+            full: self.rejected_attempts,
+            no_connect: self.failed_connects,
+            timed_out: self.timed_out_attempts,
+            cut: self.broken_connections,
+            sent_away: self.drained_clients,
+            fallen: self.overloaded_servers,
+            turned_away: self.dropped_arrivals,
             timeline,
         }
     }
@@ -441,9 +448,9 @@
     /// Whether it sees the true state.
     pub upper_bound: bool,
     /// Violation rules.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// How often rules were broken.
-    pub times_broken: u64,
+    pub violation_count: u64,
     /// Events played.
     pub events: u64,
     /// The most that waited.
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,6 +1,6 @@
 //! Placement policies: the project's placement crate, and the baselines that it is compared with.
 
-use crate::event_queue::Moment;
+use crate::event_queue::SimTime;
 use crate::server_model::{ServerModel, ServerState};
 use lupincrank_placement::{
     key_hash, rank_score, server_hash, Action, Balancer, Endpoint, Event, Health, Outcome,
@@ -16,23 +16,23 @@
 /// The state of all servers, which no real node sees.
 pub struct FleetState<'a> {
     pub(crate) fleet: &'a [ServerModel],
-    pub(crate) index: &'a HashMap<ServerId, u32>,
-    pub(crate) now: Moment,
+    pub(crate) server_indices: &'a HashMap<ServerId, u32>,
+    pub(crate) now: SimTime,
 }
 
 impl FleetState<'_> {
     /// Load over capacity, with what is on its way to it left out; none if it takes nothing.
-    pub fn used(&self, server: &ServerId) -> Option<f64> {
-        let at = *self.index.get(server)?;
+    pub fn utilization(&self, server: &ServerId) -> Option<f64> {
+        let index = *self.server_indices.get(server)?;
         let server = self
             .fleet
-            .get(at as usize)
+            .get(index as usize)
             .filter(|server| server.state == ServerState::Up)?;
         let (wait, _) = server.delay(self.now);
         Some(
-            server.used(self.now)
+            server.utilization(self.now)
                 + wait
-                + f64::from(server.busy) / f64::from(server.slots().max(1)) * 0.1,
+                + f64::from(server.running_setups) / f64::from(server.setup_slots().max(1)) * 0.1,
         )
     }
 }
@@ -44,7 +44,7 @@
         &mut self,
         now: Timestamp,
         event: Event,
-        truth: &FleetState,
+        fleet_state: &FleetState,
         actions: &mut Vec<Action>,
     );
 }
@@ -131,7 +131,7 @@
 pub struct Baseline {
     name: PolicyName,
     settings: Settings,
-    random: Pcg32,
+    rng: Pcg32,
     servers: BTreeMap<ServerId, u32>,
     /// Each server that was ever listed.
     known: Vec<KnownServer>,
@@ -153,7 +153,7 @@
     deadline: Timestamp,
     attempts: u32,
     tried: Vec<u32>,
-    out: Option<u32>,
+    server: Option<u32>,
     is_established: bool,
 }
 
@@ -162,7 +162,7 @@
         Baseline {
             name,
             settings,
-            random: Pcg32::seed_from_u64(seed),
+            rng: Pcg32::seed_from_u64(seed),
             servers: BTreeMap::new(),
             known: Vec::new(),
             ready: Vec::new(),
@@ -170,59 +170,59 @@
         }
     }
 
-    fn apply_endpoints(&mut self, entries: Vec<Endpoint>, whole: bool) {
-        if whole {
+    fn apply_endpoints(&mut self, entries: Vec<Endpoint>, is_full_list: bool) {
+        if is_full_list {
             self.ready.clear();
         }
         for entry in entries {
             let next = self.known.len() as u32;
-            let at = *self.servers.entry(entry.server.clone()).or_insert(next);
-            if at == next {
+            let index = *self.servers.entry(entry.server.clone()).or_insert(next);
+            if index == next {
                 self.known.push(KnownServer {
                     hash: server_hash(&entry.server),
                     id: entry.server,
                     connections: 0,
                 });
             }
-            let place = self.ready.iter().position(|other| *other == at);
-            match (entry.health == Health::Ready, place) {
-                (true, None) => self.ready.push(at),
-                (false, Some(place)) => {
-                    self.ready.swap_remove(place);
+            let position = self.ready.iter().position(|other| *other == index);
+            match (entry.health == Health::Ready, position) {
+                (true, None) => self.ready.push(index),
+                (false, Some(position)) => {
+                    self.ready.swap_remove(position);
                 }
                 _ => {}
             }
         }
     }
 
-    fn select_server(&mut self, key: u32, tried: &[u32], truth: &FleetState) -> Option<u32> {
-        let open: Vec<u32>;
-        let among = if tried.is_empty() {
+    fn select_server(&mut self, key: u32, tried: &[u32], fleet_state: &FleetState) -> Option<u32> {
+        let untried: Vec<u32>;
+        let candidates = if tried.is_empty() {
             &self.ready
         } else {
-            open = self
+            untried = self
                 .ready
                 .iter()
                 .copied()
-                .filter(|at| !tried.contains(at))
+                .filter(|index| !tried.contains(index))
                 .collect();
-            &open
+            &untried
         };
-        if among.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let any = |random: &mut Pcg32| among[random.gen_range(0..among.len())];
+        let pick = |rng: &mut Pcg32| candidates[rng.gen_range(0..candidates.len())];
         let known = &self.known;
         match self.name {
-            PolicyName::Random | PolicyName::Module => Some(any(&mut self.random)),
-            PolicyName::Plain => among.iter().copied().max_by(|a, b| {
+            PolicyName::Random | PolicyName::Module => Some(pick(&mut self.rng)),
+            PolicyName::Plain => candidates.iter().copied().max_by(|a, b| {
                 let (a, b) = (&known[*a as usize], &known[*b as usize]);
                 rank_score(a.hash, key)
                     .cmp(&rank_score(b.hash, key))
                     .then(b.id.cmp(&a.id))
             }),
             PolicyName::TwoChoices => {
-                let (a, b) = (any(&mut self.random), any(&mut self.random));
+                let (a, b) = (pick(&mut self.rng), pick(&mut self.rng));
                 Some(
                     if known[b as usize].connections < known[a as usize].connections {
                         b
@@ -232,11 +232,15 @@
                 )
             }
             PolicyName::LeastLoaded => {
-                let used = |at: &u32| truth.used(&known[*at as usize].id).unwrap_or(f64::INFINITY);
-                among
+                let utilization = |index: &u32| {
+                    fleet_state
+                        .utilization(&known[*index as usize].id)
+                        .unwrap_or(f64::INFINITY)
+                };
+                candidates
                     .iter()
                     .copied()
-                    .min_by(|a, b| used(a).total_cmp(&used(b)))
+                    .min_by(|a, b| utilization(a).total_cmp(&utilization(b)))
             }
         }
     }
@@ -245,39 +249,40 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        truth: &FleetState,
+        fleet_state: &FleetState,
         actions: &mut Vec<Action>,
     ) {
         let Some(mut state) = self.requests.remove(&id) else {
             return;
         };
-        let left = state.deadline.saturating_duration_since(now);
-        let may = state.attempts < self.settings.max_attempts && left > Duration::from_millis(20);
-        let chosen = if may {
-            self.select_server(state.key, &state.tried, truth)
+        let remaining = state.deadline.saturating_duration_since(now);
+        let is_allowed =
+            state.attempts < self.settings.max_attempts && remaining > Duration::from_millis(20);
+        let selected = if is_allowed {
+            self.select_server(state.key, &state.tried, fleet_state)
         } else {
             None
         };
-        let Some(at) = chosen else {
+        let Some(index) = selected else {
             let retry_after = self
                 .settings
                 .max_retry_after
-                .mul_f64(0.25 + 0.5 * self.random.gen::<f64>());
+                .mul_f64(0.25 + 0.5 * self.rng.gen::<f64>());
             return actions.push(Action::Reject {
                 request: id,
                 retry_after,
             });
         };
         state.attempts += 1;
-        state.out = Some(at);
-        state.tried.push(at);
+        state.server = Some(index);
+        state.tried.push(index);
         self.requests.insert(id, state);
-        let place = &mut self.known[at as usize];
-        place.connections += 1;
+        let server = &mut self.known[index as usize];
+        server.connections += 1;
         actions.push(Action::StartAttempt {
             request: id,
-            server: place.id.clone(),
-            timeout: left,
+            server: server.id.clone(),
+            timeout: remaining,
         });
     }
 
@@ -285,8 +290,8 @@
         let Some(state) = self.requests.get_mut(&id) else {
             return false;
         };
-        if let Some(at) = state.out.take() {
-            let server = &mut self.known[at as usize];
+        if let Some(index) = state.server.take() {
+            let server = &mut self.known[index as usize];
             server.connections = server.connections.saturating_sub(1);
         }
         state.is_established
@@ -298,31 +303,31 @@
         let mut state = Self::new_request_state(incoming);
         state.attempts = 1;
         state.is_established = true;
-        state.out = self.servers.get(server).copied();
-        if let Some(at) = state.out {
-            self.known[at as usize].connections += 1;
+        state.server = self.servers.get(server).copied();
+        if let Some(index) = state.server {
+            self.known[index as usize].connections += 1;
         }
         self.requests.insert(id, state);
     }
 
     /// Migrates every connection of a server, in the order of their requests.
     fn migrate_all(&self, server: &ServerId, actions: &mut Vec<Action>) {
-        let Some(at) = self.servers.get(server) else {
+        let Some(index) = self.servers.get(server) else {
             return;
         };
-        let mut held: Vec<RequestId> = self
+        let mut requests: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, state)| state.is_established && state.out == Some(*at))
+            .filter(|(_, state)| state.is_established && state.server == Some(*index))
             .map(|(id, _)| *id)
             .collect();
-        held.sort_unstable();
-        actions.extend(held.into_iter().map(Action::Migrate));
+        requests.sort_unstable();
+        actions.extend(requests.into_iter().map(Action::Migrate));
     }
 
     /// Asks for the endpoints again after 0.5 to 1.5 s.
     fn retry_watch(&mut self, actions: &mut Vec<Action>) {
-        let after = Duration::from_secs_f64(0.5 + self.random.gen::<f64>());
+        let after = Duration::from_secs_f64(0.5 + self.rng.gen::<f64>());
         actions.push(Action::SetTimer {
             after,
             timer: Timer::EndpointWatch,
@@ -340,7 +345,7 @@
             deadline: incoming.deadline,
             attempts: 0,
             tried: Vec::new(),
-            out: None,
+            server: None,
             is_established: false,
         }
     }
@@ -351,7 +356,7 @@
         &mut self,
         now: Timestamp,
         event: Event,
-        truth: &FleetState,
+        fleet_state: &FleetState,
         actions: &mut Vec<Action>,
     ) {
         match event {
@@ -367,7 +372,7 @@
             Event::RequestReceived(incoming) => {
                 let id = incoming.request;
                 self.requests.insert(id, Self::new_request_state(incoming));
-                self.start_attempt(now, id, truth, actions);
+                self.start_attempt(now, id, fleet_state, actions);
             }
             Event::ConnectionInherited(incoming, server) => {
                 self.inherit(incoming, &server);
@@ -383,11 +388,11 @@
                 done,
                 ..
             } => {
-                let stood = self.release(request);
-                if done || stood || outcome == Outcome::Served {
+                let was_established = self.release(request);
+                if done || was_established || outcome == Outcome::Served {
                     self.requests.remove(&request);
                 } else {
-                    self.start_attempt(now, request, truth, actions);
+                    self.start_attempt(now, request, fleet_state, actions);
                 }
             }
             Event::ClientDisconnected(request) => {
--- a/crates/simulator/src/population.rs
+++ b/crates/simulator/src/population.rs
@@ -1,35 +1,35 @@
 //! Who the clients are: classes, lives, loads and groups, each drawn from the client's own stream of random numbers,
 //! so that every policy meets the same ones.
 
-use crate::event_queue::{seconds, Moment};
+use crate::event_queue::{seconds, SimTime};
 use crate::scenario::{Class, Scenario};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal, StandardNormal, Zipf};
 use rand_pcg::Pcg32;
 
 /// A stream of random numbers of its own for each purpose.
-pub fn stream(seed: u64, purpose: u64, serial: u64) -> Pcg32 {
+pub fn stream(seed: u64, purpose: u64, index: u64) -> Pcg32 {
     // The multipliers only keep neighbouring seeds apart; the generator's seeding mixes them.
     Pcg32::seed_from_u64(
         seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)
             ^ purpose.wrapping_mul(0xd1b5_4a32_d192_ed03)
-            ^ serial.wrapping_mul(0x2545_f491_4f6c_dd1d),
+            ^ index.wrapping_mul(0x2545_f491_4f6c_dd1d),
     )
 }
 
 /// A log-normal value of mean 1.
-pub fn around_one(random: &mut Pcg32, sigma: f64) -> f64 {
-    LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |spread| spread.sample(random))
+pub fn log_normal(rng: &mut Pcg32, sigma: f64) -> f64 {
+    LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |distribution| distribution.sample(rng))
 }
 
 /// A delay of a mean with some jitter, never less than a tenth of it.
-pub fn jittered(random: &mut Pcg32, mean_ms: f64, jitter: f64) -> Moment {
-    let normal: f64 = random.sample(StandardNormal);
+pub fn jittered(rng: &mut Pcg32, mean_ms: f64, jitter: f64) -> SimTime {
+    let normal: f64 = rng.sample(StandardNormal);
     seconds(mean_ms / 1e3 * (1.0 + jitter * normal).max(0.1))
 }
 
 /// A client as it is drawn.
-pub struct Drawn {
+pub struct ClientDraw {
     /// Its class.
     pub class: usize,
     /// Its zone.
@@ -37,67 +37,67 @@
     /// Its group.
     pub group: Option<u32>,
     /// How long it wants its connection, s.
-    pub life_s: f64,
+    pub lifetime_s: f64,
     /// Its usual load, in cores of speed 1.
-    pub usual: f64,
+    pub mean_load: f64,
     /// Its own stream, for all that follows.
-    pub random: Pcg32,
+    pub rng: Pcg32,
 }
 
 /// Draws clients.
 pub struct Population {
     seed: u64,
-    shares: Vec<f64>,
+    cumulative_shares: Vec<f64>,
     groups: Option<Zipf<f64>>,
-    unit: f64,
+    load_unit: f64,
     scenario: Scenario,
 }
 
 impl Population {
     /// The clients of a scenario under a seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
-        let all: f64 = scenario.class.iter().map(|class| class.share).sum();
+        let total: f64 = scenario.class.iter().map(|class| class.share).sum();
         let mut sum = 0.0;
-        let shares = scenario.class.iter().map(|class| {
-            sum += class.share / all;
+        let cumulative_shares = scenario.class.iter().map(|class| {
+            sum += class.share / total;
             sum
         });
-        let size = scenario.clients.group_size;
-        let count = if size > 0.0 {
-            (scenario.standing() / size).ceil().max(1.0)
+        let group_size = scenario.clients.group_size;
+        let group_count = if group_size > 0.0 {
+            (scenario.standing() / group_size).ceil().max(1.0)
         } else {
             0.0
         };
         Population {
             seed,
-            shares: shares.collect(),
-            groups: (count > 0.0)
-                .then(|| Zipf::new(count as u64, scenario.clients.group_zipf).ok())
+            cumulative_shares: cumulative_shares.collect(),
+            groups: (group_count > 0.0)
+                .then(|| Zipf::new(group_count as u64, scenario.clients.group_zipf).ok())
                 .flatten(),
-            unit: scenario.load_unit(),
+            load_unit: scenario.load_unit(),
             scenario: scenario.clone(),
         }
     }
 
     /// The client of a number. One that `stands` has been there for a while: long lives are met more often, and
     /// part of each is over.
-    pub fn draw(&self, serial: u64, stands: bool) -> Drawn {
-        let mut random = stream(self.seed, 1, serial);
-        let at: f64 = random.gen();
+    pub fn draw(&self, serial: u64, is_established: bool) -> ClientDraw {
+        let mut rng = stream(self.seed, 1, serial);
+        let position: f64 = rng.gen();
         let mut class = self
-            .shares
+            .cumulative_shares
             .iter()
-            .position(|share| at < *share)
+            .position(|share| position < *share)
             .unwrap_or(0);
-        if stands {
+        if is_established {
             // A class with long lives has more of those that stand.
-            let lives: f64 = self
+            let total: f64 = self
                 .scenario
                 .class
                 .iter()
                 .map(|class| class.share * class.life)
                 .sum();
-            let mut left = random.gen::<f64>() * lives;
+            let mut left = rng.gen::<f64>() * total;
             class = self
                 .scenario
                 .class
@@ -111,50 +111,50 @@
         let drawn = &self.scenario.class[class];
         let mean = self.scenario.clients.life_s * drawn.life;
         let sigma = self.scenario.clients.life_sigma;
-        let life_s = match (sigma > 0.0, stands) {
-            (false, _) => mean * random.sample::<f64, _>(Exp1),
-            (true, false) => mean * around_one(&mut random, sigma),
+        let lifetime_s = match (sigma > 0.0, is_established) {
+            (false, _) => mean * rng.sample::<f64, _>(Exp1),
+            (true, false) => mean * log_normal(&mut rng, sigma),
             (true, true) => {
-                mean * around_one(&mut random, sigma) * (sigma * sigma).exp() * random.gen::<f64>()
+                mean * log_normal(&mut rng, sigma) * (sigma * sigma).exp() * rng.gen::<f64>()
             }
         };
         let group = self
             .groups
             .as_ref()
-            .map(|groups| groups.sample(&mut random) as u32);
-        let usual = drawn.load * self.unit * around_one(&mut random, drawn.load_sigma);
-        Drawn {
+            .map(|groups| groups.sample(&mut rng) as u32);
+        let mean_load = drawn.load * self.load_unit * log_normal(&mut rng, drawn.load_sigma);
+        ClientDraw {
             class,
-            zone: random.gen_range(0..self.scenario.net.zones),
+            zone: rng.gen_range(0..self.scenario.net.zones),
             group,
-            life_s,
-            usual,
-            random,
+            lifetime_s,
+            mean_load,
+            rng,
         }
     }
 }
 
 /// A connection's load from now until its next change, and when that is.
-pub fn swing(class: &Class, usual: f64, random: &mut Pcg32) -> (f64, Option<Moment>) {
+pub fn next_load(class: &Class, mean_load: f64, rng: &mut Pcg32) -> (f64, Option<SimTime>) {
     if class.change_s <= 0.0 {
-        return (usual, None);
+        return (mean_load, None);
     }
-    let next = seconds(class.change_s * random.sample::<f64, _>(Exp1)).max(1_000_000);
-    let idle = random.gen::<f64>() < class.idle;
+    let until_next = seconds(class.change_s * rng.sample::<f64, _>(Exp1)).max(1_000_000);
+    let idle = rng.gen::<f64>() < class.idle;
     let load = if idle {
         0.0
     } else {
-        usual / (1.0 - class.idle) * around_one(random, class.swing_sigma)
+        mean_load / (1.0 - class.idle) * log_normal(rng, class.swing_sigma)
     };
-    (load, Some(next))
+    (load, Some(until_next))
 }
 
 /// The work of a set-up, in seconds on a core of speed 1.
-pub fn work(class: &Class, random: &mut Pcg32) -> f64 {
+pub fn setup_work(class: &Class, rng: &mut Pcg32) -> f64 {
     let (mean, cv) = (class.work_ms / 1e3, class.work_cv);
     if cv <= 0.0 || mean <= 0.0 {
         return mean;
     }
     let shape = 1.0 / (cv * cv);
-    Gamma::new(shape, mean / shape).map_or(mean, |spread| spread.sample(random))
+    Gamma::new(shape, mean / shape).map_or(mean, |distribution| distribution.sample(rng))
 }
--- a/crates/simulator/src/world/attempts.rs
+++ b/crates/simulator/src/world/attempts.rs
@@ -1,15 +1,15 @@
 //! Attempts: they start, time out, end, or become connections that end later.
 
 use super::nodes::EndedAttempt;
-use super::{Phase, World, NO_PLACE};
+use super::{Phase, World, NOT_CONNECTED};
 use crate::checker::{Rule, TraceSubject};
-use crate::event_queue::{millis, Moment, SimulationEvent};
+use crate::event_queue::{millis, SimTime, SimulationEvent};
 use lupincrank_placement::{Event, Outcome, RequestId};
 use std::time::Duration;
 
 impl World<'_> {
     /// Starts an attempt, after the checker has looked at it.
-    pub(super) fn send(
+    pub(super) fn check_and_start_attempt(
         &mut self,
         node: u32,
         request: u64,
@@ -17,11 +17,11 @@
         timeout: Duration,
     ) {
         let now = self.now;
-        let server = self.index.get(server).copied();
+        let server = self.server_indices.get(server).copied();
         self.record("sent", node, request, server);
         let current = self.client_of(request).filter(|client| {
-            let held = &self.clients[*client as usize];
-            held.phase == Phase::Requesting && !held.answered && held.node == node
+            let state = &self.clients[*client as usize];
+            state.phase == Phase::Requesting && !state.answered && state.node == node
         });
         let (Some(client), Some(server)) = (current, server) else {
             let what =
@@ -42,13 +42,13 @@
 
     /// Whether one more attempt for this client's request breaks the rule on attempts, which is recorded.
     pub(super) fn breaks_attempt_rule(&mut self, client: u32, request: u64) -> bool {
-        let held = &self.clients[client as usize];
-        let what = if held.out.is_some() {
+        let state = &self.clients[client as usize];
+        let what = if state.server.is_some() {
             "a second attempt while the first is out".to_string()
-        } else if held.attempts >= self.scenario.nodes.attempts {
+        } else if state.attempts >= self.scenario.nodes.attempts {
             format!(
                 "attempt {} of at most {}",
-                held.attempts + 1,
+                state.attempts + 1,
                 self.scenario.nodes.attempts
             )
         } else {
@@ -67,15 +67,15 @@
     pub(super) fn check_drain_rule(&mut self, node: u32, request: u64, server: u32) {
         let now = self.now;
         let grace = millis(self.scenario.rules.drain_grace_ms);
-        let told = self.nodes[node as usize]
-            .leaving
+        let notified_at = self.nodes[node as usize]
+            .leaving_since
             .get(server as usize)
             .copied()
             .flatten();
-        if told.is_some_and(|since| now - since > grace) {
-            let since = crate::event_queue::as_seconds(now - told.unwrap_or(now));
+        if notified_at.is_some_and(|notified_at| now - notified_at > grace) {
+            let elapsed_s = crate::event_queue::as_seconds(now - notified_at.unwrap_or(now));
             let what = format!(
-                "sent to transcriber {server}, {since:.3} s after the node was told that it leaves"
+                "sent to transcriber {server}, {elapsed_s:.3} s after the node was told that it leaves"
             );
             self.checker
                 .report(Rule::Drain, now, TraceSubject::Request(request), what);
@@ -90,52 +90,53 @@
             self.fleet[server as usize].zone,
         );
         self.metrics.attempts += 1;
-        self.metrics.crossings += u64::from(node_zone != server_zone);
-        let trips = 1.0 + 2.0 * self.scenario.net.handshake_rtts;
-        let way = (self.network_delay(node_zone, server_zone) as f64 * trips) as Moment;
-        let held = &mut self.clients[client as usize];
-        let request = held.request;
-        let attempt = held.attempts;
-        held.attempts += 1;
-        held.out = Some(server);
-        held.sent = now;
-        let until =
-            (now + u64::try_from(timeout.as_nanos()).unwrap_or(u64::MAX / 2)).min(held.deadline);
+        self.metrics.cross_zone_attempts += u64::from(node_zone != server_zone);
+        let one_way_trips = 1.0 + 2.0 * self.scenario.net.handshake_rtts;
+        let delay = (self.network_delay(node_zone, server_zone) as f64 * one_way_trips) as SimTime;
+        let state = &mut self.clients[client as usize];
+        let request = state.request;
+        let attempt = state.attempts;
+        state.attempts += 1;
+        state.server = Some(server);
+        state.sent_at = now;
+        let times_out_at =
+            (now + u64::try_from(timeout.as_nanos()).unwrap_or(u64::MAX / 2)).min(state.deadline);
         let incarnation = self.fleet[server as usize].incarnation;
         self.queue.schedule(
-            until.max(now + 1),
+            times_out_at.max(now + 1),
             SimulationEvent::AttemptTimeout(request, attempt),
         );
         self.queue.schedule(
-            now + way,
+            now + delay,
             SimulationEvent::AttemptArrives(request, attempt, server, incarnation),
         );
     }
 
     /// The attempt that is out, if it is this one and its connection does not stand yet.
-    pub(super) fn waits_for(&self, request: u64, attempt: u32) -> Option<u32> {
+    pub(super) fn client_awaiting_attempt(&self, request: u64, attempt: u32) -> Option<u32> {
         let client = self.client_of(request)?;
-        let held = &self.clients[client as usize];
-        let current = held.phase == Phase::Requesting && !held.answered && held.out.is_some();
-        (current && held.attempts == attempt + 1).then_some(client)
+        let state = &self.clients[client as usize];
+        let is_pending =
+            state.phase == Phase::Requesting && !state.answered && state.server.is_some();
+        (is_pending && state.attempts == attempt + 1).then_some(client)
     }
 
     pub(super) fn attempt_timed_out(&mut self, request: u64, attempt: u32) {
-        if self.waits_for(request, attempt).is_some() {
-            self.metrics.timed_out += 1;
+        if self.client_awaiting_attempt(request, attempt).is_some() {
+            self.metrics.timed_out_attempts += 1;
             self.attempt_ended(request, attempt, Outcome::TimedOut);
         }
     }
 
     pub(super) fn attempt_ended(&mut self, request: u64, attempt: u32, outcome: Outcome) {
-        let Some(client) = self.waits_for(request, attempt) else {
+        let Some(client) = self.client_awaiting_attempt(request, attempt) else {
             return;
         };
-        let held = &self.clients[client as usize];
-        let (node, server) = (held.node, held.out);
+        let state = &self.clients[client as usize];
+        let (node, server) = (state.node, state.server);
         match outcome {
-            Outcome::Rejected => self.metrics.full += 1,
-            Outcome::ConnectFailed => self.metrics.no_connect += 1,
+            Outcome::Rejected => self.metrics.rejected_attempts += 1,
+            Outcome::ConnectFailed => self.metrics.failed_connects += 1,
             _ => {}
         }
         let what = match outcome {
@@ -158,38 +159,39 @@
 
     /// A node hears that the connection stands.
     pub(super) fn connection_established(&mut self, request: u64, attempt: u32) {
-        let Some(client) = self.waits_for(request, attempt) else {
+        let Some(client) = self.client_awaiting_attempt(request, attempt) else {
             return;
         };
-        let held = &mut self.clients[client as usize];
-        if held.place == NO_PLACE {
+        let state = &mut self.clients[client as usize];
+        if state.connection_index == NOT_CONNECTED {
             return; // its transcriber is gone again
         }
-        held.phase = Phase::Connected;
-        held.answered = true;
-        held.failures = 0;
-        held.retries = 0;
-        let (node, server) = (held.node, held.out);
-        let (took, sent) = (self.now - held.asked, self.now - held.sent);
-        self.metrics.record_setup(took);
+        state.phase = Phase::Connected;
+        state.answered = true;
+        state.failures = 0;
+        state.retries = 0;
+        let (node, server) = (state.node, state.server);
+        let (request_duration, setup_duration) =
+            (self.now - state.requested_at, self.now - state.sent_at);
+        self.metrics.record_setup(request_duration);
         self.record("stands", node, request, server);
-        let id = RequestId(request);
+        let request_id = RequestId(request);
         self.deliver_event(
             node,
             Event::ConnectionEstablished {
-                request: id,
-                setup_duration: Duration::from_nanos(sent),
+                request: request_id,
+                setup_duration: Duration::from_nanos(setup_duration),
             },
         );
         // What the decisions wanted may have ended it again.
         if self.client_of(request).is_some() {
-            self.starts_to_stand(client);
-            self.observe_setup(node, id, sent);
+            self.start_load_changes(client);
+            self.report_long_setup(node, request_id, setup_duration);
         }
     }
 
     /// A standing connection ends; the transcriber and the decisions hear of it.
-    pub(super) fn end_standing(&mut self, client: u32, outcome: Outcome) {
+    pub(super) fn end_connection(&mut self, client: u32, outcome: Outcome) {
         let state = &self.clients[client as usize];
         let ended = EndedAttempt {
             node: state.node,
@@ -198,7 +200,7 @@
             outcome,
             is_request_over: true,
         };
-        let is_node_running = self.is_process_running_for(state);
+        let is_node_running = self.is_node_running_for(state);
         self.release(client);
         let state = &mut self.clients[client as usize];
         state.phase = Phase::Disconnected;
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -1,17 +1,17 @@
 //! Discovery: one service that handles calls one after another, late, and sometimes not at all.
 
 use super::World;
-use crate::event_queue::{millis, seconds, Change, Incarnation, SimulationEvent, SECOND};
+use crate::event_queue::{millis, seconds, Incarnation, ServerChange, SimulationEvent, SECOND};
 use lupincrank_placement::{Event, Health};
 use rand::Rng;
 
 impl World<'_> {
     /// What a node starts with: the list as it is known, perhaps an old one.
     pub(super) fn deliver_cached_endpoints(&mut self, node: u32) {
-        self.nodes[node as usize].heard = self.discovery.log.len();
+        self.nodes[node as usize].notified_changes = self.discovery.change_log.len();
         let entries: Vec<_> = self
             .discovery
-            .known
+            .endpoints
             .iter()
             .filter(|entry| entry.health != Health::Removed)
             .cloned()
@@ -30,24 +30,24 @@
 
     /// Records that a node knows of an endpoint: from here on the rules on drains and slow starts bind it.
     fn record_notification(&mut self, node: u32, entry: &lupincrank_placement::Endpoint) {
-        let Some(server) = self.index.get(&entry.server).copied() else {
+        let Some(server) = self.server_indices.get(&entry.server).copied() else {
             return;
         };
         let (now, incarnation) = (self.now, self.fleet[server as usize].incarnation);
         let node = &mut self.nodes[node as usize];
-        let place = server as usize;
-        if node.leaving.len() <= place {
-            node.leaving.resize(place + 1, None);
-            node.knows_start.resize(place + 1, 0);
-        }
-        let leaves = entry.health != Health::Ready;
-        node.leaving[place] = if leaves {
-            node.leaving[place].or(Some(now))
+        let index = server as usize;
+        if node.leaving_since.len() <= index {
+            node.leaving_since.resize(index + 1, None);
+            node.known_starts.resize(index + 1, 0);
+        }
+        let is_leaving = entry.health != Health::Ready;
+        node.leaving_since[index] = if is_leaving {
+            node.leaving_since[index].or(Some(now))
         } else {
             None
         };
-        if !leaves && entry.started_at.is_some() {
-            node.knows_start[place] = incarnation;
+        if !is_leaving && entry.started_at.is_some() {
+            node.known_starts[index] = incarnation;
         }
     }
 
@@ -56,52 +56,52 @@
         let incarnation = self.nodes[node as usize].incarnation;
         let timeout = seconds(self.scenario.discovery.timeout_s);
         if self.discovery.down {
-            let after = self.now + seconds(0.05);
+            let ends_at = self.now + seconds(0.05);
             return self.queue.schedule(
-                after,
-                SimulationEvent::WatchAnswered(node, incarnation, false),
+                ends_at,
+                SimulationEvent::WatchCallEnded(node, incarnation, false),
             );
         }
-        let takes = seconds(1.0 / self.scenario.discovery.capacity);
-        let begins = self.discovery.busy_until.max(self.now);
-        if begins - self.now > timeout {
+        let duration = seconds(1.0 / self.scenario.discovery.capacity);
+        let starts_at = self.discovery.busy_until.max(self.now);
+        if starts_at - self.now > timeout {
             return self.queue.schedule(
                 self.now + timeout,
-                SimulationEvent::WatchAnswered(node, incarnation, false),
+                SimulationEvent::WatchCallEnded(node, incarnation, false),
             );
         }
-        self.discovery.busy_until = begins + takes;
+        self.discovery.busy_until = starts_at + duration;
         self.queue.schedule(
-            begins + takes,
-            SimulationEvent::WatchAnswered(node, incarnation, true),
+            starts_at + duration,
+            SimulationEvent::WatchCallEnded(node, incarnation, true),
         );
     }
 
     /// A call ends.
-    pub(super) fn watch_answered(&mut self, node: u32, incarnation: Incarnation, answered: bool) {
-        let at = &self.nodes[node as usize];
-        if !at.alive || at.incarnation != incarnation {
+    pub(super) fn watch_call_ended(&mut self, node: u32, incarnation: Incarnation, answered: bool) {
+        let state = &self.nodes[node as usize];
+        if !state.is_running || state.incarnation != incarnation {
             return;
         }
         if !answered || self.discovery.down {
             return self.deliver_event(node, Event::EndpointWatchFailed);
         }
-        self.nodes[node as usize].watches = true;
+        self.nodes[node as usize].is_watching = true;
         self.notify_node(node, incarnation);
     }
 
     /// Notifies a node of what changed since its last notification.
     pub(super) fn notify_node(&mut self, node: u32, incarnation: Incarnation) {
-        let at = &self.nodes[node as usize];
-        if !at.alive
-            || at.incarnation != incarnation
-            || !at.watches
-            || at.heard >= self.discovery.log.len()
+        let state = &self.nodes[node as usize];
+        if !state.is_running
+            || state.incarnation != incarnation
+            || !state.is_watching
+            || state.notified_changes >= self.discovery.change_log.len()
         {
             return;
         }
-        let entries = self.discovery.log[at.heard..].to_vec();
-        self.nodes[node as usize].heard = self.discovery.log.len();
+        let entries = self.discovery.change_log[state.notified_changes..].to_vec();
+        self.nodes[node as usize].notified_changes = self.discovery.change_log.len();
         for entry in &entries {
             self.record_notification(node, entry);
         }
@@ -109,43 +109,46 @@
     }
 
     /// Discovery learns of a change, and notifies the nodes that watch.
-    pub(super) fn discovery_learns(
+    pub(super) fn update_discovery(
         &mut self,
         server: u32,
         incarnation: Incarnation,
-        change: Change,
+        change: ServerChange,
     ) {
         if self.discovery.stale {
-            return self.discovery.held_back.push((server, incarnation, change));
+            return self
+                .discovery
+                .deferred_changes
+                .push((server, incarnation, change));
         }
         let health = match change {
-            Change::Runs => Health::Ready,
-            Change::Drains => Health::Draining,
-            Change::Gone => Health::Removed,
+            ServerChange::Started => Health::Ready,
+            ServerChange::Draining => Health::Draining,
+            ServerChange::Removed => Health::Removed,
         };
         // A change that a later start has overtaken is dropped.
-        let now_on = self.fleet[server as usize].incarnation;
-        if change != Change::Gone && now_on != incarnation {
+        let current = self.fleet[server as usize].incarnation;
+        if change != ServerChange::Removed && current != incarnation {
             return;
         }
-        if change == Change::Gone && now_on > incarnation + 1 {
+        if change == ServerChange::Removed && current > incarnation + 1 {
             return;
         }
         let entry = self.endpoint(server, health);
         match self
             .discovery
-            .known
+            .endpoints
             .iter_mut()
             .find(|known| known.server == entry.server)
         {
             Some(known) => *known = entry.clone(),
-            None => self.discovery.known.push(entry.clone()),
+            None => self.discovery.endpoints.push(entry.clone()),
         }
-        self.discovery.log.push(entry);
+        self.discovery.change_log.push(entry);
         let spread = millis(self.scenario.discovery.spread_ms);
         for node in 0..self.nodes.len() as u32 {
             let incarnation = self.nodes[node as usize].incarnation;
-            let after = self.chance.gen_range(0..=spread.max(1));
+            let after = self.rng.gen_range(0..=spread.max(1));
             self.queue.schedule(
                 self.now + after,
                 SimulationEvent::NodeNotified(node, incarnation),
@@ -157,8 +160,8 @@
     pub(super) fn set_discovery_down(&mut self, down: bool) {
         self.discovery.down = down;
         for node in 0..self.nodes.len() as u32 {
-            let at = &mut self.nodes[node as usize];
-            if down && at.alive && std::mem::take(&mut at.watches) {
+            let state = &mut self.nodes[node as usize];
+            if down && state.is_running && std::mem::take(&mut state.is_watching) {
                 self.deliver_event(node, Event::EndpointWatchFailed);
             }
         }
@@ -167,12 +170,12 @@
     /// Discovery stops learning of changes, or learns of all that it missed.
     pub(super) fn set_discovery_stale(&mut self, stale: bool) {
         self.discovery.stale = stale;
-        let missed = std::mem::take(&mut self.discovery.held_back);
+        let missed = std::mem::take(&mut self.discovery.deferred_changes);
         for (server, incarnation, change) in missed {
             if !stale {
                 self.queue.schedule(
                     self.now + SECOND / 100,
-                    SimulationEvent::DiscoveryLearns(server, incarnation, change),
+                    SimulationEvent::DiscoveryUpdated(server, incarnation, change),
                 );
             }
         }
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,7 +1,7 @@
 //! Faults: their steps and their ends. Faults may overlap; each affects machines drawn from the seed.
 
 use super::{Phase, World};
-use crate::event_queue::{as_seconds, seconds, Change, Moment, SimulationEvent};
+use crate::event_queue::{as_seconds, seconds, ServerChange, SimTime, SimulationEvent};
 use crate::population::stream;
 use crate::scenario::{Fault, FaultKind};
 use crate::server_model::ServerState;
@@ -13,28 +13,28 @@
 impl World<'_> {
     /// The transcribers that a fault strikes: a share of those that ran at the start of the world, in an order drawn
     /// from the seed, so that every policy meets the same ones.
-    fn affected_servers(&self, fault: u32, part: f64) -> Vec<u32> {
+    fn affected_servers(&self, fault: u32, ratio: f64) -> Vec<u32> {
         let mut all: Vec<u32> = (0..self.scenario.fleet.transcribers).collect();
         all.shuffle(&mut stream(self.seed, 7, u64::from(fault)));
-        all.truncate(((all.len() as f64 * part).round() as usize).max(1));
+        all.truncate(((all.len() as f64 * ratio).round() as usize).max(1));
         all
     }
 
     /// A fault begins, or takes its next step.
     pub(super) fn start_fault_step(&mut self, number: u32, step: u32) {
         let fault = self.scenario.faults[number as usize].clone();
-        let ends = self.now + seconds(fault.for_s);
+        let ends_at = self.now + seconds(fault.for_s);
         if step == 0 {
             self.queue
-                .schedule(ends, SimulationEvent::FaultEnds(number));
+                .schedule(ends_at, SimulationEvent::FaultEnds(number));
         }
         match fault.kind {
-            FaultKind::Silent => self.begin_silent(number, &fault),
+            FaultKind::Silent => self.begin_unresponsive(number, &fault),
             FaultKind::ZoneLost => self.begin_zone_lost(number, &fault),
             FaultKind::Slow => self.begin_slow(number, &fault),
             FaultKind::Deploy => self.continue_deploy(number, step, &fault),
             FaultKind::Shrink => self.continue_shrink(number, step, &fault),
-            FaultKind::NodeDown => self.begin_node_down(number, &fault, ends),
+            FaultKind::NodeDown => self.begin_node_down(number, &fault, ends_at),
             FaultKind::DiscoveryDown => self.set_discovery_down(true),
             FaultKind::DiscoveryStale => self.set_discovery_stale(true),
             FaultKind::Reset => self.continue_reset(number, &fault),
@@ -43,26 +43,26 @@
     }
 
     /// Machines stop to answer; discovery and the nodes notice later.
-    fn begin_silent(&mut self, number: u32, fault: &Fault) {
-        let notice = seconds(self.scenario.discovery.silent_notice_s);
-        for at in self.affected_servers(number, fault.part) {
-            if !self.fleet[at as usize].answers() {
+    fn begin_unresponsive(&mut self, number: u32, fault: &Fault) {
+        let delay = seconds(self.scenario.discovery.silent_notice_s);
+        for index in self.affected_servers(number, fault.part) {
+            if !self.fleet[index as usize].is_serving() {
                 continue;
             }
-            self.advance(at);
-            let server = &mut self.fleet[at as usize];
-            server.state = ServerState::Silent;
-            server.silent_since = self.now;
+            self.advance(index);
+            let server = &mut self.fleet[index as usize];
+            server.state = ServerState::Unresponsive;
+            server.unresponsive_since = self.now;
             let incarnation = server.incarnation;
             self.queue.schedule(
-                self.now + notice,
-                SimulationEvent::DiscoveryLearns(at, incarnation, Change::Gone),
+                self.now + delay,
+                SimulationEvent::DiscoveryUpdated(index, incarnation, ServerChange::Removed),
             );
             if self.scenario.nodes.silence_s > 0.0 {
-                let sees = seconds(self.scenario.nodes.silence_s + 0.5);
+                let detection = seconds(self.scenario.nodes.silence_s + 0.5);
                 self.queue.schedule(
-                    self.now + sees,
-                    SimulationEvent::SilenceNoticed(at, incarnation),
+                    self.now + detection,
+                    SimulationEvent::UnresponsiveDetected(index, incarnation),
                 );
             }
         }
@@ -70,24 +70,24 @@
 
     /// The processes of a zone end in the same moment.
     fn begin_zone_lost(&mut self, number: u32, fault: &Fault) {
-        let lost = self.affected_in_zone(number, fault.part);
-        for at in &lost {
-            self.terminate_server(*at);
-            let incarnation = self.fleet[*at as usize].incarnation;
-            let notice = seconds(self.scenario.discovery.notice_s);
+        let terminated = self.affected_in_zone(number, fault.part);
+        for index in &terminated {
+            self.terminate_server(*index);
+            let incarnation = self.fleet[*index as usize].incarnation;
+            let delay = seconds(self.scenario.discovery.notice_s);
             self.queue.schedule(
-                self.now + notice,
-                SimulationEvent::DiscoveryLearns(*at, incarnation, Change::Gone),
+                self.now + delay,
+                SimulationEvent::DiscoveryUpdated(*index, incarnation, ServerChange::Removed),
             );
         }
-        self.lost_servers.insert(number, lost);
+        self.terminated_servers.insert(number, terminated);
     }
 
     /// Transcribers run slower by the size.
     fn begin_slow(&mut self, number: u32, fault: &Fault) {
-        for at in self.affected_servers(number, fault.part) {
-            self.advance(at);
-            self.fleet[at as usize].slow *= fault.size;
+        for index in self.affected_servers(number, fault.part) {
+            self.advance(index);
+            self.fleet[index as usize].slowdown *= fault.size;
         }
     }
 
@@ -98,10 +98,10 @@
             ((fault.size * f64::from(self.scenario.fleet.transcribers)).round() as usize).max(1);
         let steps = all.len().div_ceil(batch);
         let drain = seconds(fault.drain_s);
-        for at in all.iter().skip(step as usize * batch).take(batch) {
-            self.drain(*at, drain);
+        for index in all.iter().skip(step as usize * batch).take(batch) {
+            self.start_drain(*index, drain);
             self.queue
-                .schedule(self.now + drain, SimulationEvent::ServerReplaced(*at));
+                .schedule(self.now + drain, SimulationEvent::ServerReplaced(*index));
         }
         if (step as usize) + 1 < steps {
             let gap = seconds(fault.for_s) / steps as u64;
@@ -116,8 +116,8 @@
         let (done, steps) = (step as usize, all.len());
         self.arrival_factors[number as usize] =
             1.0 / (1.0 + (fault.size - 1.0) * (done + 1) as f64 / steps as f64);
-        if let Some(at) = all.get(done) {
-            self.drain(*at, seconds(fault.drain_s));
+        if let Some(index) = all.get(done) {
+            self.start_drain(*index, seconds(fault.drain_s));
         }
         if done == 0 {
             self.schedule_departures(fault.leave * (1.0 - 1.0 / fault.size), seconds(fault.for_s));
@@ -130,11 +130,12 @@
     }
 
     /// Nodes die until the end of the fault.
-    fn begin_node_down(&mut self, number: u32, fault: &Fault, ends: Moment) {
+    fn begin_node_down(&mut self, number: u32, fault: &Fault, ends_at: SimTime) {
         for node in self.affected_nodes(number, fault.part) {
-            if self.nodes[node as usize].alive {
+            if self.nodes[node as usize].is_running {
                 self.kill_node(node);
-                self.queue.schedule(ends, SimulationEvent::NodeStarts(node));
+                self.queue
+                    .schedule(ends_at, SimulationEvent::NodeStarts(node));
             }
         }
     }
@@ -142,9 +143,9 @@
     /// Resets one connection and schedules the next reset while the fault lasts.
     fn continue_reset(&mut self, number: u32, fault: &Fault) {
         self.reset_one_connection();
-        let gap = self.chance.sample::<f64, _>(Exp1) / fault.size;
-        let begun = seconds(fault.at_s);
-        if as_seconds(self.now - begun) + gap < fault.for_s {
+        let gap = self.rng.sample::<f64, _>(Exp1) / fault.size;
+        let started_at = seconds(fault.at_s);
+        if as_seconds(self.now - started_at) + gap < fault.for_s {
             self.queue.schedule(
                 self.now + seconds(gap).max(1),
                 SimulationEvent::FaultStep(number, 1),
@@ -153,67 +154,69 @@
     }
 
     /// Traffic falls: this share of the clients leaves, evenly over a span.
-    fn schedule_departures(&mut self, share: f64, span: Moment) {
-        for at in 0..self.clients.len() as u32 {
-            let leaves = self.chance.gen::<f64>() < share;
-            let when = self.now + self.chance.gen_range(0..=span);
-            let client = &mut self.clients[at as usize];
-            if leaves && client.until > when {
+    fn schedule_departures(&mut self, ratio: f64, duration: SimTime) {
+        for index in 0..self.clients.len() as u32 {
+            let is_leaving = self.rng.gen::<f64>() < ratio;
+            let leaves_at = self.now + self.rng.gen_range(0..=duration);
+            let client = &mut self.clients[index as usize];
+            if is_leaving && client.leaves_at > leaves_at {
                 self.metrics
-                    .withdraw_demand(client.class, when, client.until);
-                client.until = when;
-                self.queue
-                    .schedule(when, SimulationEvent::ClientLeaves(at, client.incarnation));
+                    .withdraw_demand(client.class, leaves_at, client.leaves_at);
+                client.leaves_at = leaves_at;
+                self.queue.schedule(
+                    leaves_at,
+                    SimulationEvent::ClientLeaves(index, client.incarnation),
+                );
             }
         }
     }
 
-    fn affected_nodes(&self, fault: u32, part: f64) -> Vec<u32> {
+    fn affected_nodes(&self, fault: u32, ratio: f64) -> Vec<u32> {
         let mut all: Vec<u32> = (0..self.nodes.len() as u32).collect();
         all.shuffle(&mut stream(self.seed, 8, u64::from(fault)));
-        all.truncate(((all.len() as f64 * part).round() as usize).max(1));
+        all.truncate(((all.len() as f64 * ratio).round() as usize).max(1));
         all
     }
 
     /// The successor of a transcriber that a deploy replaced: a new machine, cold.
     pub(super) fn replace_server(&mut self, replaced: u32) {
-        let (zone, kind) = (
+        let (zone, kind_index) = (
             self.fleet[replaced as usize].zone,
-            self.fleet[replaced as usize].kind,
+            self.fleet[replaced as usize].kind_index,
         );
-        let at = self.add_transcriber(zone, kind, Some(self.now));
-        let incarnation = self.fleet[at as usize].incarnation;
-        let notice = seconds(self.scenario.discovery.add_s);
+        let index = self.add_server(zone, kind_index, Some(self.now));
+        let incarnation = self.fleet[index as usize].incarnation;
+        let delay = seconds(self.scenario.discovery.add_s);
         self.queue.schedule(
-            self.now + notice,
-            SimulationEvent::DiscoveryLearns(at, incarnation, Change::Runs),
+            self.now + delay,
+            SimulationEvent::DiscoveryUpdated(index, incarnation, ServerChange::Started),
         );
     }
 
     /// Those that run in the zone that a fault strikes, or a share of them, drawn from the seed.
-    fn affected_in_zone(&self, fault: u32, part: f64) -> Vec<u32> {
-        let mut draw = stream(self.seed, 10, u64::from(fault));
-        let zone = draw.gen_range(0..self.scenario.net.zones);
-        let runs = |at: &u32| {
-            let server = &self.fleet[*at as usize];
-            server.zone == zone && server.answers()
+    fn affected_in_zone(&self, fault: u32, ratio: f64) -> Vec<u32> {
+        let mut rng = stream(self.seed, 10, u64::from(fault));
+        let zone = rng.gen_range(0..self.scenario.net.zones);
+        let is_affected = |index: &u32| {
+            let server = &self.fleet[*index as usize];
+            server.zone == zone && server.is_serving()
         };
-        let mut all: Vec<u32> = (0..self.fleet.len() as u32).filter(runs).collect();
-        all.shuffle(&mut draw);
-        all.truncate((all.len() as f64 * part).round() as usize);
+        let mut all: Vec<u32> = (0..self.fleet.len() as u32).filter(is_affected).collect();
+        all.shuffle(&mut rng);
+        all.truncate((all.len() as f64 * ratio).round() as usize);
         all
     }
 
     /// A transcriber that was down starts again, cold.
-    fn restart_server(&mut self, at: u32) {
+    fn restart_server(&mut self, index: u32) {
         let now = self.now;
-        self.fleet[at as usize].restart(now);
-        self.schedule_pause(at);
-        let incarnation = self.fleet[at as usize].incarnation;
-        let notice = seconds(self.scenario.discovery.add_s);
+        self.fleet[index as usize].restart(now);
+        self.schedule_pause(index);
+        let incarnation = self.fleet[index as usize].incarnation;
+        let delay = seconds(self.scenario.discovery.add_s);
         self.queue.schedule(
-            now + notice,
-            SimulationEvent::DiscoveryLearns(at, incarnation, Change::Runs),
+            now + delay,
+            SimulationEvent::DiscoveryUpdated(index, incarnation, ServerChange::Started),
         );
     }
 
@@ -222,23 +225,23 @@
         let fault = self.scenario.faults[number as usize].clone();
         match fault.kind {
             FaultKind::Silent => {
-                for at in self.affected_servers(number, fault.part) {
-                    if self.fleet[at as usize].state != ServerState::Silent {
+                for index in self.affected_servers(number, fault.part) {
+                    if self.fleet[index as usize].state != ServerState::Unresponsive {
                         continue;
                     }
-                    self.terminate_server(at);
-                    self.restart_server(at);
+                    self.terminate_server(index);
+                    self.restart_server(index);
                 }
             }
             FaultKind::ZoneLost => {
-                for at in self.lost_servers.remove(&number).unwrap_or_default() {
-                    self.restart_server(at);
+                for index in self.terminated_servers.remove(&number).unwrap_or_default() {
+                    self.restart_server(index);
                 }
             }
             FaultKind::Slow => {
-                for at in self.affected_servers(number, fault.part) {
-                    self.advance(at);
-                    self.fleet[at as usize].slow /= fault.size;
+                for index in self.affected_servers(number, fault.part) {
+                    self.advance(index);
+                    self.fleet[index as usize].slowdown /= fault.size;
                 }
             }
             FaultKind::DiscoveryDown => self.set_discovery_down(false),
@@ -251,21 +254,25 @@
 
     /// A single standing connection breaks, by the network's doing.
     fn reset_one_connection(&mut self) {
-        let standing: usize = self.fleet.iter().map(|server| server.standing.len()).sum();
-        if standing == 0 {
+        let connections: usize = self
+            .fleet
+            .iter()
+            .map(|server| server.connected_clients.len())
+            .sum();
+        if connections == 0 {
             return;
         }
-        let mut at = self.chance.gen_range(0..standing);
+        let mut index = self.rng.gen_range(0..connections);
         for server in &self.fleet {
-            if let Some(client) = server.standing.get(at).copied() {
+            if let Some(client) = server.connected_clients.get(index).copied() {
                 if self.clients[client as usize].phase == Phase::Connected {
-                    self.metrics.cut += 1;
-                    self.end_standing(client, Outcome::Reset);
+                    self.metrics.broken_connections += 1;
+                    self.end_connection(client, Outcome::Reset);
                     self.connection_lost(client, false);
                 }
                 return;
             }
-            at -= server.standing.len();
+            index -= server.connected_clients.len();
         }
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -12,7 +12,7 @@
 mod servers;
 
 use crate::checker::{RuleChecker, TraceEntry};
-use crate::event_queue::{seconds, Incarnation, Moment, Queue, SimulationEvent, SECOND};
+use crate::event_queue::{seconds, EventQueue, Incarnation, SimTime, SimulationEvent, SECOND};
 use crate::metrics::{Outcome, RunMetrics, RunSummary};
 use crate::policy::{Policy, PolicyName};
 use crate::population::{jittered, stream, Population};
@@ -29,11 +29,11 @@
 /// Fleets up to this size have the load of each transcriber in the time line.
 const MAX_SERVERS_IN_TIMELINE: usize = 64;
 /// How often the model of every server is advanced at least.
-const SERVER_UPKEEP_INTERVAL: Moment = SECOND / 2;
+const SERVER_UPKEEP_INTERVAL: SimTime = SECOND / 2;
 /// No place at a transcriber.
-const NO_PLACE: u32 = u32::MAX;
+const NOT_CONNECTED: u32 = u32::MAX;
 /// What the decisions' clock shows when the world begins: not zero, which they take for long ago.
-const EPOCH: Moment = 1_000 * SECOND;
+const CLOCK_START: SimTime = 1_000 * SECOND;
 
 /// What a client is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,55 +55,55 @@
     class: usize,
     zone: u32,
     group: Option<u32>,
-    until: Moment,
-    usual: f64,
+    leaves_at: SimTime,
+    mean_load: f64,
     load: f64,
-    random: Pcg32,
+    rng: Pcg32,
     phase: Phase,
     failures: u32,
     retries: u32,
-    returned: bool,
+    is_reconnect: bool,
     /// When its first try of this round runs out.
-    deadline: Moment,
+    deadline: SimTime,
     request: u64,
     node: u32,
     node_incarnation: Incarnation,
-    asked: Moment,
+    requested_at: SimTime,
     /// Attempts of this request, the one that is out and when it was sent, and whether the answer was given.
     attempts: u32,
-    out: Option<u32>,
-    sent: Moment,
+    server: Option<u32>,
+    sent_at: SimTime,
     answered: bool,
     /// Where its connection stands at the transcriber, `NO_PLACE` while it does not.
-    place: u32,
+    connection_index: u32,
 }
 
 /// One balancer node.
 struct Node {
     zone: u32,
     incarnation: Incarnation,
-    alive: bool,
+    is_running: bool,
     listed_by_front: bool,
     policy: Box<dyn Policy>,
-    watches: bool,
+    is_watching: bool,
     /// How many of discovery's changes it has been notified of.
-    heard: usize,
+    notified_changes: usize,
     /// Since when it knows that a transcriber leaves.
-    leaving: Vec<Option<Moment>>,
+    leaving_since: Vec<Option<SimTime>>,
     /// Starts of servers that it was notified of.
-    knows_start: Vec<Incarnation>,
+    known_starts: Vec<Incarnation>,
     /// How long its latest set-ups took.
-    set_ups: VecDeque<Moment>,
+    recent_setups: VecDeque<SimTime>,
 }
 
 /// Discovery.
-struct Directory {
-    known: Vec<Endpoint>,
-    log: Vec<Endpoint>,
-    busy_until: Moment,
+struct DiscoveryState {
+    endpoints: Vec<Endpoint>,
+    change_log: Vec<Endpoint>,
+    busy_until: SimTime,
     down: bool,
     stale: bool,
-    held_back: Vec<(u32, Incarnation, crate::event_queue::Change)>,
+    deferred_changes: Vec<(u32, Incarnation, crate::event_queue::ServerChange)>,
 }
 
 /// A scenario being played.
@@ -112,82 +112,82 @@
     settings: Settings,
     message_objectives: Vec<f64>,
     seed: u64,
-    now: Moment,
-    end: Moment,
+    now: SimTime,
+    end: SimTime,
     events: u64,
-    queue: Queue,
+    queue: EventQueue,
     population: Population,
     policy_factory: &'a PolicyFactory<'a>,
-    arrivals: Pcg32,
-    chance: Pcg32,
-    net: Pcg32,
+    arrival_rng: Pcg32,
+    rng: Pcg32,
+    network_rng: Pcg32,
     serial: u64,
     requests: u64,
     clients: Vec<Client>,
     free_client_slots: Vec<u32>,
     fleet: Vec<ServerModel>,
-    index: HashMap<ServerId, u32>,
+    server_indices: HashMap<ServerId, u32>,
     /// The transcribers' hashes, as placement ranks them.
-    hashes: Vec<u32>,
+    server_hashes: Vec<u32>,
     nodes: Vec<Node>,
-    discovery: Directory,
+    discovery: DiscoveryState,
     arrival_factors: Vec<f64>,
     /// The transcribers that a fault took down, until they come back.
-    lost_servers: std::collections::BTreeMap<u32, Vec<u32>>,
+    terminated_servers: std::collections::BTreeMap<u32, Vec<u32>>,
     checker: RuleChecker,
     metrics: RunMetrics,
     actions: Vec<Action>,
 }
 
 /// Plays a scenario with one of the policies by name.
-pub fn play(scenario: &Scenario, seed: u64, name: PolicyName) -> Outcome {
-    let make = move |settings: Settings, seed: u64| name.make(settings, seed);
-    play_with(
+pub fn run_scenario(scenario: &Scenario, seed: u64, name: PolicyName) -> Outcome {
+    let create_policy = move |settings: Settings, seed: u64| name.make(settings, seed);
+    run_with_policy(
         scenario,
         seed,
         name.as_str(),
         name == PolicyName::LeastLoaded,
-        &make,
+        &create_policy,
     )
 }
 
 /// Plays a scenario with any policy. The same scenario, seed and policy always give the same outcome.
-pub fn play_with(
+pub fn run_with_policy(
     scenario: &Scenario,
     seed: u64,
     policy: &str,
     upper_bound: bool,
-    make: &PolicyFactory<'_>,
+    create_policy: &PolicyFactory<'_>,
 ) -> Outcome {
-    let mut world = World::new(scenario, seed, make);
-    world.begin();
-    while let Some((at, event)) = world.queue.pop_until(world.end) {
-        world.now = at;
+    let mut world = World::new(scenario, seed, create_policy);
+    world.start();
+    while let Some((time, event)) = world.queue.pop_until(world.end) {
+        world.now = time;
         world.events += 1;
         world.dispatch(event);
     }
     world.now = world.end;
-    for at in 0..world.fleet.len() as u32 {
-        world.advance(at);
+    for index in 0..world.fleet.len() as u32 {
+        world.advance(index);
     }
-    let ending = RunSummary {
+    let summary = RunSummary {
         seed,
         policy: policy.to_string(),
         upper_bound,
-        broken: std::mem::take(&mut world.checker.violations),
-        times_broken: world.checker.violation_count,
+        violations: std::mem::take(&mut world.checker.violations),
+        violation_count: world.checker.violation_count,
         events: world.events,
         peak_queue: world.queue.peak(),
     };
-    world.metrics.finish(scenario, ending)
+    world.metrics.finish(scenario, summary)
 }
 
 /// What a scenario tells its nodes.
 pub fn settings(scenario: &Scenario) -> Settings {
-    let span = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1e3);
+    let duration = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1e3);
     let class = |class: &crate::scenario::Class| Class {
-        setup_objective: span(class.aim_ms),
-        message_objective: span(class.message_aim_ms),
+        setup_objective: duration(class.aim_ms),
+        message_objective: duration(class.message_aim_ms),
         retry_safety: RetrySafety::Idempotent,
     };
     Settings {
@@ -200,17 +200,17 @@
         health_check_cost: 0.0,
         utilization_field: None,
         requires_endpoint_watch: true,
-        drain_grace: span(scenario.rules.drain_grace_ms),
+        drain_grace: duration(scenario.rules.drain_grace_ms),
         slow_start_duration: Duration::from_secs_f64(scenario.rules.cold_s),
         initial_capacity_ratio: scenario.rules.start_capacity,
         overload_factor: scenario.rules.fall_multiple,
         overload_window: Duration::from_secs_f64(scenario.rules.fall_s),
-        max_retry_after: span(scenario.nodes.retry_after_ms),
+        max_retry_after: duration(scenario.nodes.retry_after_ms),
     }
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &Scenario, seed: u64, make: &'a PolicyFactory<'a>) -> Self {
+    fn new(scenario: &Scenario, seed: u64, policy_factory: &'a PolicyFactory<'a>) -> Self {
         World {
             settings: settings(scenario),
             message_objectives: scenario
@@ -222,30 +222,30 @@
             now: 0,
             end: seconds(scenario.length_s),
             events: 0,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             population: Population::new(scenario, seed),
-            policy_factory: make,
-            arrivals: stream(seed, 2, 0),
-            chance: stream(seed, 3, 0),
-            net: stream(seed, 4, 0),
+            policy_factory,
+            arrival_rng: stream(seed, 2, 0),
+            rng: stream(seed, 3, 0),
+            network_rng: stream(seed, 4, 0),
             serial: 0,
             requests: 0,
             clients: Vec::new(),
             free_client_slots: Vec::new(),
             fleet: Vec::new(),
-            index: HashMap::new(),
-            hashes: Vec::new(),
+            server_indices: HashMap::new(),
+            server_hashes: Vec::new(),
             nodes: Vec::new(),
-            discovery: Directory {
-                known: Vec::new(),
-                log: Vec::new(),
+            discovery: DiscoveryState {
+                endpoints: Vec::new(),
+                change_log: Vec::new(),
                 busy_until: 0,
                 down: false,
                 stale: false,
-                held_back: Vec::new(),
+                deferred_changes: Vec::new(),
             },
             arrival_factors: vec![1.0; scenario.faults.len()],
-            lost_servers: std::collections::BTreeMap::new(),
+            terminated_servers: std::collections::BTreeMap::new(),
             checker: RuleChecker::default(),
             metrics: RunMetrics::new(scenario),
             actions: Vec::new(),
@@ -253,10 +253,10 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         self.build_fleet();
-        for zone in 0..self.scenario.nodes.count {
-            self.add_node(zone % self.scenario.net.zones);
+        for index in 0..self.scenario.nodes.count {
+            self.add_node(index % self.scenario.net.zones);
         }
         if self.scenario.clients.warm_start {
             self.establish_initial_connections();
@@ -265,10 +265,10 @@
         self.queue
             .schedule(SERVER_UPKEEP_INTERVAL, SimulationEvent::ServerUpkeep);
         self.queue.schedule(SECOND, SimulationEvent::MetricsSample);
-        for (at, fault) in self.scenario.faults.iter().enumerate() {
+        for (index, fault) in self.scenario.faults.iter().enumerate() {
             self.queue.schedule(
                 seconds(fault.at_s),
-                SimulationEvent::FaultStep(at as u32, 0),
+                SimulationEvent::FaultStep(index as u32, 0),
             );
         }
     }
@@ -280,8 +280,8 @@
             Event::ClientConnects(client, incarnation) => self.connect_client(client, incarnation),
             Event::ClientLeaves(client, incarnation) => self.remove_client(client, incarnation),
             Event::LoadChanges(client, incarnation) => self.change_load(client, incarnation),
-            Event::ClientAnswered(client, request, refused, wait) => {
-                self.receive_answer(client, request, refused, wait);
+            Event::ClientAnswered(client, request, is_rejected, retry_after_ms) => {
+                self.receive_answer(client, request, is_rejected, retry_after_ms);
             }
             Event::RequestReceived(request) => self.receive_request(request),
             Event::AttemptTimeout(request, attempt) => self.attempt_timed_out(request, attempt),
@@ -298,16 +298,16 @@
             Event::ConnectionEstablished(request, attempt) => {
                 self.connection_established(request, attempt);
             }
-            Event::NodeTimer(node, incarnation, timer) => self.timer(node, incarnation, timer),
+            Event::NodeTimer(node, incarnation, timer) => self.fire_timer(node, incarnation, timer),
             Event::ServerUpkeep => self.update_servers(),
             Event::MetricsSample => self.sample_metrics(),
-            Event::ServerPause(server, incarnation) => self.pause(server, incarnation),
-            Event::DiscoveryLearns(server, incarnation, change) => {
-                self.discovery_learns(server, incarnation, change);
+            Event::ServerPause(server, incarnation) => self.pause_server(server, incarnation),
+            Event::DiscoveryUpdated(server, incarnation, change) => {
+                self.update_discovery(server, incarnation, change);
             }
             Event::NodeNotified(node, incarnation) => self.notify_node(node, incarnation),
-            Event::WatchAnswered(node, incarnation, answered) => {
-                self.watch_answered(node, incarnation, answered);
+            Event::WatchCallEnded(node, incarnation, is_answered) => {
+                self.watch_call_ended(node, incarnation, is_answered);
             }
             Event::FaultStep(fault, step) => self.start_fault_step(fault, step),
             Event::FaultEnds(fault) => self.end_fault(fault),
@@ -315,37 +315,39 @@
             Event::ServerStops(server, incarnation) => self.stop_server(server, incarnation),
             Event::ServerReplaced(server) => self.replace_server(server),
             Event::NodeStarts(node) => self.start_node(node),
-            Event::FrontUpdated(node, incarnation, takes) => {
-                self.update_front(node, incarnation, takes);
+            Event::FrontUpdated(node, incarnation, is_listed) => {
+                self.update_front(node, incarnation, is_listed);
+            }
+            Event::UnresponsiveDetected(server, incarnation) => {
+                self.detect_unresponsive_server(server, incarnation)
             }
-            Event::SilenceNoticed(server, incarnation) => self.notice_silence(server, incarnation),
         }
     }
 
     /// The client that has a request out, if it still has. The low bits of a request's number are its client's place.
     fn client_of(&self, request: u64) -> Option<u32> {
-        let at = (request & 0xff_ffff) as u32;
+        let index = (request & 0xff_ffff) as u32;
         self.clients
-            .get(at as usize)
+            .get(index as usize)
             .filter(|client| client.request == request)
-            .map(|_| at)
+            .map(|_| index)
     }
 
     /// A delay between a node and a transcriber.
-    fn network_delay(&mut self, node_zone: u32, server_zone: u32) -> Moment {
+    fn network_delay(&mut self, node_zone: u32, server_zone: u32) -> SimTime {
         let net = &self.scenario.net;
         let mean = if node_zone == server_zone {
             net.same_ms
         } else {
             net.cross_ms
         };
-        jittered(&mut self.net, mean, net.jitter)
+        jittered(&mut self.network_rng, mean, net.jitter)
     }
 
-    fn record(&mut self, what: &'static str, node: u32, request: u64, server: Option<u32>) {
+    fn record(&mut self, event: &'static str, node: u32, request: u64, server: Option<u32>) {
         self.checker.record(TraceEntry {
-            at: self.now,
-            what,
+            time: self.now,
+            event,
             node,
             request,
             server,
@@ -353,9 +355,9 @@
     }
 
     fn update_servers(&mut self) {
-        for at in 0..self.fleet.len() as u32 {
-            self.advance(at);
-            self.shed_load(at);
+        for index in 0..self.fleet.len() as u32 {
+            self.advance(index);
+            self.shed_load(index);
         }
         self.queue.schedule(
             self.now + SERVER_UPKEEP_INTERVAL,
@@ -366,17 +368,19 @@
     fn sample_metrics(&mut self) {
         use crate::server_model::ServerState;
         let now = self.now;
-        let seen =
-            |server: &ServerModel| (server.state == ServerState::Up).then(|| server.used(now));
-        let used: Vec<Option<f64>> = self.fleet.iter().map(seen).collect();
-        let standing = self
+        let utilization = |server: &ServerModel| {
+            (server.state == ServerState::Up).then(|| server.utilization(now))
+        };
+        let utilizations: Vec<Option<f64>> = self.fleet.iter().map(utilization).collect();
+        let connections = self
             .fleet
             .iter()
-            .map(|server| server.standing.len() as u64)
+            .map(|server| server.connected_clients.len() as u64)
             .sum();
-        let keeps = self.fleet.len() <= MAX_SERVERS_IN_TIMELINE;
-        self.metrics.record_sample(now, used, standing, keeps);
-        self.observe();
+        let keeps_servers = self.fleet.len() <= MAX_SERVERS_IN_TIMELINE;
+        self.metrics
+            .record_sample(now, utilizations, connections, keeps_servers);
+        self.report_message_delays();
         self.queue
             .schedule(now + SECOND, SimulationEvent::MetricsSample);
     }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -1,10 +1,10 @@
 //! Nodes: they hand events to the decisions, carry actions out, and tell what they observe.
 
-use super::{Client, Node, Phase, World, EPOCH};
+use super::{Client, Node, Phase, World, CLOCK_START};
 use crate::checker::{Rule, TraceSubject};
 use crate::event_queue::{millis, seconds, Incarnation, SimulationEvent, SECOND};
 use crate::policy::FleetState;
-use crate::population::{jittered, stream, swing};
+use crate::population::{jittered, next_load, stream};
 use lupincrank_placement::{Action, Event, Outcome, RequestId, RequestInfo, Timer, Timestamp};
 use std::collections::VecDeque;
 
@@ -21,22 +21,22 @@
 
 impl World<'_> {
     pub(super) fn add_node(&mut self, zone: u32) {
-        let at = self.nodes.len() as u32;
-        let policy = self.new_policy(at, 0);
+        let index = self.nodes.len() as u32;
+        let policy = self.new_policy(index, 0);
         self.nodes.push(Node {
             zone,
             incarnation: 0,
-            alive: false,
+            is_running: false,
             listed_by_front: false,
             policy,
-            watches: false,
-            heard: 0,
-            leaving: Vec::new(),
-            knows_start: Vec::new(),
-            set_ups: VecDeque::new(),
+            is_watching: false,
+            notified_changes: 0,
+            leaving_since: Vec::new(),
+            known_starts: Vec::new(),
+            recent_setups: VecDeque::new(),
         });
-        self.start_node(at);
-        self.nodes[at as usize].listed_by_front = true;
+        self.start_node(index);
+        self.nodes[index as usize].listed_by_front = true;
     }
 
     fn new_policy(&self, node: u32, incarnation: Incarnation) -> Box<dyn crate::policy::Policy> {
@@ -46,47 +46,51 @@
     }
 
     /// A node's process starts: from nothing but the list as discovery has it.
-    pub(super) fn start_node(&mut self, at: u32) {
-        let incarnation = self.nodes[at as usize].incarnation + 1;
-        let policy = self.new_policy(at, incarnation);
-        let node = &mut self.nodes[at as usize];
-        (node.incarnation, node.alive, node.watches, node.policy) =
-            (incarnation, true, false, policy);
-        node.leaving.clear();
-        node.knows_start.clear();
-        node.set_ups.clear();
-        self.deliver_event(at, Event::Start);
-        self.deliver_cached_endpoints(at);
+    pub(super) fn start_node(&mut self, index: u32) {
+        let incarnation = self.nodes[index as usize].incarnation + 1;
+        let policy = self.new_policy(index, incarnation);
+        let node = &mut self.nodes[index as usize];
+        (
+            node.incarnation,
+            node.is_running,
+            node.is_watching,
+            node.policy,
+        ) = (incarnation, true, false, policy);
+        node.leaving_since.clear();
+        node.known_starts.clear();
+        node.recent_setups.clear();
+        self.deliver_event(index, Event::Start);
+        self.deliver_cached_endpoints(index);
         self.queue.schedule(
             self.now + seconds(0.5),
-            SimulationEvent::FrontUpdated(at, incarnation, true),
+            SimulationEvent::FrontUpdated(index, incarnation, true),
         );
     }
 
     /// A node's process dies, and with it all that goes through it.
-    pub(super) fn kill_node(&mut self, at: u32) {
-        let node = &mut self.nodes[at as usize];
-        node.alive = false;
-        node.watches = false;
+    pub(super) fn kill_node(&mut self, index: u32) {
+        let node = &mut self.nodes[index as usize];
+        node.is_running = false;
+        node.is_watching = false;
         let incarnation = node.incarnation;
-        let notice = seconds(self.scenario.nodes.front_notice_s);
+        let delay = seconds(self.scenario.nodes.front_notice_s);
         self.queue.schedule(
-            self.now + notice,
-            SimulationEvent::FrontUpdated(at, incarnation, false),
+            self.now + delay,
+            SimulationEvent::FrontUpdated(index, incarnation, false),
         );
         for client in 0..self.clients.len() as u32 {
-            let held = &self.clients[client as usize];
-            if held.node != at || held.node_incarnation != incarnation || held.request == 0 {
+            let state = &self.clients[client as usize];
+            if state.node != index || state.node_incarnation != incarnation || state.request == 0 {
                 continue;
             }
-            match held.phase {
+            match state.phase {
                 Phase::Connected => {
-                    self.metrics.cut += 1;
+                    self.metrics.broken_connections += 1;
                     self.release(client);
                     self.connection_lost(client, false);
                 }
-                Phase::Requesting if !held.answered => {
-                    let request = held.request;
+                Phase::Requesting if !state.answered => {
+                    let request = state.request;
                     self.release(client);
                     self.clients[client as usize].answered = true;
                     self.queue.schedule(
@@ -99,37 +103,37 @@
         }
     }
 
-    pub(super) fn update_front(&mut self, node: u32, incarnation: Incarnation, takes: bool) {
+    pub(super) fn update_front(&mut self, node: u32, incarnation: Incarnation, is_listed: bool) {
         let node = &mut self.nodes[node as usize];
-        if node.incarnation == incarnation && node.alive == takes {
-            node.listed_by_front = takes;
+        if node.incarnation == incarnation && node.is_running == is_listed {
+            node.listed_by_front = is_listed;
         }
     }
 
     /// Hands an event to a node's decisions and carries out what they want.
-    pub(super) fn deliver_event(&mut self, at: u32, event: Event) {
+    pub(super) fn deliver_event(&mut self, index: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        let truth = FleetState {
+        let fleet_state = FleetState {
             fleet: &self.fleet,
-            index: &self.index,
+            server_indices: &self.server_indices,
             now: self.now,
         };
-        self.nodes[at as usize].policy.handle(
-            Timestamp(self.now + EPOCH),
+        self.nodes[index as usize].policy.handle(
+            Timestamp(self.now + CLOCK_START),
             event,
-            &truth,
+            &fleet_state,
             &mut actions,
         );
         for action in actions.drain(..) {
-            self.execute(at, action);
+            self.execute(index, action);
         }
         self.actions = actions;
     }
 
     /// Whether the process that the client's request came to still runs.
-    pub(super) fn is_process_running_for(&self, client: &Client) -> bool {
+    pub(super) fn is_node_running_for(&self, client: &Client) -> bool {
         let node = &self.nodes[client.node as usize];
-        node.alive && node.incarnation == client.node_incarnation
+        node.is_running && node.incarnation == client.node_incarnation
     }
 
     /// Tells a node's decisions that an attempt ended.
@@ -150,31 +154,39 @@
                 request,
                 server,
                 timeout,
-            } => self.send(node, request.0, &server, timeout),
+            } => self.check_and_start_attempt(node, request.0, &server, timeout),
             Action::Reject {
                 request,
                 retry_after,
             } => {
-                self.answer(node, request.0, true, retry_after.as_millis() as u32);
+                self.send_final_answer(node, request.0, true, retry_after.as_millis() as u32);
             }
-            Action::Fail(request) => self.answer(node, request.0, false, 0),
+            Action::Fail(request) => self.send_final_answer(node, request.0, false, 0),
             Action::Migrate(request) => {
                 if let Some(client) = self.client_of(request.0) {
                     if self.clients[client as usize].phase == Phase::Connected {
-                        self.metrics.moves += 1;
-                        self.record("moved", node, request.0, self.clients[client as usize].out);
-                        self.end_standing(client, Outcome::Cancelled);
+                        self.metrics.migrations += 1;
+                        self.record(
+                            "moved",
+                            node,
+                            request.0,
+                            self.clients[client as usize].server,
+                        );
+                        self.end_connection(client, Outcome::Cancelled);
                         self.connection_lost(client, true);
                     }
                 }
             }
-            Action::SetTimer { after, timer } => {
+            Action::SetTimer {
+                after: delay,
+                timer,
+            } => {
                 let incarnation = self.nodes[node as usize].incarnation;
-                let after = u64::try_from(after.as_nanos())
+                let delay = u64::try_from(delay.as_nanos())
                     .unwrap_or(u64::MAX)
                     .min(3600 * SECOND);
                 self.queue.schedule(
-                    self.now + after.max(1),
+                    self.now + delay.max(1),
                     SimulationEvent::NodeTimer(node, incarnation, timer),
                 );
             }
@@ -184,14 +196,14 @@
         }
     }
 
-    pub(super) fn timer(&mut self, node: u32, incarnation: Incarnation, timer: Timer) {
-        let at = &self.nodes[node as usize];
-        if at.alive && at.incarnation == incarnation {
+    pub(super) fn fire_timer(&mut self, node: u32, incarnation: Incarnation, timer: Timer) {
+        let state = &self.nodes[node as usize];
+        if state.is_running && state.incarnation == incarnation {
             self.deliver_event(node, Event::TimerFired(timer));
         }
     }
 
-    fn incoming(&self, client: u32) -> RequestInfo {
+    fn request_info(&self, client: u32) -> RequestInfo {
         let (key, group) = self.keys(client);
         let client = &self.clients[client as usize];
         RequestInfo {
@@ -201,9 +213,9 @@
             group,
             key: Some(key),
             load: None,
-            deadline: Timestamp(client.deadline + EPOCH),
+            deadline: Timestamp(client.deadline + CLOCK_START),
             is_mid_flow: false,
-            is_reconnect: client.returned,
+            is_reconnect: client.is_reconnect,
         }
     }
 
@@ -215,7 +227,7 @@
         let state = &self.clients[client as usize];
         let node = state.node;
         let deadline = state.deadline;
-        if !self.is_process_running_for(state) {
+        if !self.is_node_running_for(state) {
             // It died while the request was on its way.
             self.clients[client as usize].answered = true;
             return self.queue.schedule(
@@ -229,54 +241,66 @@
             overdue.max(self.now + 1),
             SimulationEvent::AnswerOverdue(request),
         );
-        let incoming = self.incoming(client);
+        let incoming = self.request_info(client);
         self.deliver_event(node, Event::RequestReceived(incoming));
     }
 
     /// A connection that stands when the world begins.
-    pub(super) fn inherit(&mut self, client: u32, node: u32, server: u32) {
-        if self.fleet[server as usize].standing.len() as u32 >= self.fleet[server as usize].cap() {
+    pub(super) fn inherit_connection(&mut self, client: u32, node: u32, server: u32) {
+        if self.fleet[server as usize].connected_clients.len() as u32
+            >= self.fleet[server as usize].connection_limit()
+        {
             let incarnation = self.clients[client as usize].incarnation;
             return self.connect_client(client, incarnation);
         }
         let request = self.next_request_number(client);
         let incarnation = self.nodes[node as usize].incarnation;
-        let held = &mut self.clients[client as usize];
-        (held.request, held.node, held.node_incarnation, held.phase) =
-            (request, node, incarnation, Phase::Connected);
-        held.attempts = 1;
-        held.out = Some(server);
-        held.answered = true;
-        held.sent = self.now;
-        self.join(client, server);
-        let incoming = self.incoming(client);
-        let id = self.fleet[server as usize].id.clone();
-        self.deliver_event(node, Event::ConnectionInherited(incoming, id));
-        self.starts_to_stand(client);
+        let state = &mut self.clients[client as usize];
+        (
+            state.request,
+            state.node,
+            state.node_incarnation,
+            state.phase,
+        ) = (request, node, incarnation, Phase::Connected);
+        state.attempts = 1;
+        state.server = Some(server);
+        state.answered = true;
+        state.sent_at = self.now;
+        self.add_connection(client, server);
+        let incoming = self.request_info(client);
+        let server_id = self.fleet[server as usize].id.clone();
+        self.deliver_event(node, Event::ConnectionInherited(incoming, server_id));
+        self.start_load_changes(client);
     }
 
     /// From here on a connection's load is told and changes.
-    pub(super) fn starts_to_stand(&mut self, client: u32) {
-        let held = &mut self.clients[client as usize];
-        held.connection_incarnation += 1;
-        let (load, next) = swing(
-            &self.scenario.class[held.class],
-            held.usual,
-            &mut held.random,
+    pub(super) fn start_load_changes(&mut self, client: u32) {
+        let state = &mut self.clients[client as usize];
+        state.connection_incarnation += 1;
+        let (load, until_next) = next_load(
+            &self.scenario.class[state.class],
+            state.mean_load,
+            &mut state.rng,
         );
-        let by = load - std::mem::replace(&mut held.load, load);
-        if let Some(server) = held.out {
+        let delta = load - std::mem::replace(&mut state.load, load);
+        if let Some(server) = state.server {
             self.advance(server);
-            self.fleet[server as usize].swing(by);
+            self.fleet[server as usize].change_load(delta);
         }
         self.report_load(client);
-        self.schedule_load_change(client, next);
+        self.schedule_load_change(client, until_next);
     }
 
     /// The final answer to a request that did not come to stand.
-    pub(super) fn answer(&mut self, node: u32, request: u64, refused: bool, wait_ms: u32) {
+    pub(super) fn send_final_answer(
+        &mut self,
+        node: u32,
+        request: u64,
+        is_rejected: bool,
+        retry_after_ms: u32,
+    ) {
         self.record(
-            if refused { "refused" } else { "failed" },
+            if is_rejected { "refused" } else { "failed" },
             node,
             request,
             None,
@@ -284,11 +308,11 @@
         let Some(client) = self.client_of(request) else {
             return;
         };
-        let held = &self.clients[client as usize];
-        if held.phase != Phase::Requesting || held.node != node {
+        let state = &self.clients[client as usize];
+        if state.phase != Phase::Requesting || state.node != node {
             return;
         }
-        if held.answered {
+        if state.answered {
             let what = "a second final answer".to_string();
             return self.checker.report(
                 Rule::FinalAnswer,
@@ -297,9 +321,9 @@
                 what,
             );
         }
-        self.metrics.refused += 1;
-        let has_attempt = held.out.is_some();
-        let attempt = held.attempts.saturating_sub(1);
+        self.metrics.failed_requests += 1;
+        let has_attempt = state.server.is_some();
+        let attempt = state.attempts.saturating_sub(1);
         self.clients[client as usize].answered = true;
         if has_attempt {
             self.release(client);
@@ -312,10 +336,10 @@
             });
         }
         let (mean, jitter) = (self.scenario.net.client_ms, self.scenario.net.jitter);
-        let hop = jittered(&mut self.clients[client as usize].random, mean, jitter);
+        let delay = jittered(&mut self.clients[client as usize].rng, mean, jitter);
         self.queue.schedule(
-            self.now + hop,
-            SimulationEvent::ClientAnswered(client, request, refused, wait_ms),
+            self.now + delay,
+            SimulationEvent::ClientAnswered(client, request, is_rejected, retry_after_ms),
         );
     }
 
@@ -323,11 +347,11 @@
         let Some(client) = self.client_of(request) else {
             return;
         };
-        let held = &self.clients[client as usize];
-        if held.phase != Phase::Requesting || held.answered {
+        let state = &self.clients[client as usize];
+        if state.phase != Phase::Requesting || state.answered {
             return;
         }
-        self.record("overdue", held.node, request, held.out);
+        self.record("overdue", state.node, request, state.server);
         let what = "no final answer by the client's deadline".to_string();
         self.checker.report(
             Rule::FinalAnswer,
@@ -335,7 +359,7 @@
             TraceSubject::Request(request),
             what,
         );
-        self.client_gone(client);
+        self.client_disconnected(client);
         self.clients[client as usize].answered = true;
         self.queue.schedule(
             self.now + 1,
@@ -344,14 +368,14 @@
     }
 
     /// Nobody waits for the request any more.
-    pub(super) fn client_gone(&mut self, client: u32) {
+    pub(super) fn client_disconnected(&mut self, client: u32) {
         let state = &self.clients[client as usize];
         let node = state.node;
         let request = state.request;
-        if state.answered || !self.is_process_running_for(state) {
+        if state.answered || !self.is_node_running_for(state) {
             return;
         }
-        let has_attempt = state.out.is_some();
+        let has_attempt = state.server.is_some();
         let attempt = state.attempts.saturating_sub(1);
         self.clients[client as usize].answered = true;
         self.release(client);
--- a/crates/simulator/src/world/observations.rs
+++ b/crates/simulator/src/world/observations.rs
@@ -1,7 +1,7 @@
 //! What a node observes of its connections: loads, long set-ups, message delays, silence.
 
 use super::{Phase, World};
-use crate::event_queue::{Incarnation, Moment, SimulationEvent, SECOND};
+use crate::event_queue::{Incarnation, SimTime, SimulationEvent, SECOND};
 use crate::scenario::Delays;
 use crate::server_model::ServerState;
 use lupincrank_placement::{Event, RequestId};
@@ -17,55 +17,61 @@
         if !self.scenario.nodes.loads {
             return;
         }
-        let held = &self.clients[client as usize];
-        let load = Duration::from_secs_f64(held.load.max(0.0));
-        let (node, request) = (held.node, RequestId(held.request));
+        let state = &self.clients[client as usize];
+        let load = Duration::from_secs_f64(state.load.max(0.0));
+        let (node, request) = (state.node, RequestId(state.request));
         self.deliver_event(node, Event::LoadObserved { request, load });
     }
 
     /// Lines are returned at once however crowded a transcriber is, but a set-up waits its turn there: one that
     /// takes over three times the median of the latest ones is told as a delay by what is over the median, as real
     /// nodes do.
-    pub(super) fn observe_setup(&mut self, node: u32, request: RequestId, took: Moment) {
-        let set_ups = &mut self.nodes[node as usize].set_ups;
-        let mut sorted: Vec<Moment> = set_ups.iter().copied().collect();
-        if set_ups.len() == REMEMBERED_SETUPS {
-            set_ups.pop_front();
+    pub(super) fn report_long_setup(&mut self, node: u32, request: RequestId, duration: SimTime) {
+        let recent = &mut self.nodes[node as usize].recent_setups;
+        let mut durations: Vec<SimTime> = recent.iter().copied().collect();
+        if recent.len() == REMEMBERED_SETUPS {
+            recent.pop_front();
         }
-        set_ups.push_back(took);
-        if self.scenario.nodes.delays != Delays::Sockets || sorted.len() < MIN_REMEMBERED_SETUPS {
+        recent.push_back(duration);
+        if self.scenario.nodes.delays != Delays::Sockets || durations.len() < MIN_REMEMBERED_SETUPS
+        {
             return;
         }
-        let middle = sorted.len() / 2;
-        let median = *sorted.select_nth_unstable(middle).1;
-        if took > median * LONG_SETUP_FACTOR {
-            let delay = Duration::from_nanos(took - median);
+        let middle = durations.len() / 2;
+        let median = *durations.select_nth_unstable(middle).1;
+        if duration > median * LONG_SETUP_FACTOR {
+            let delay = Duration::from_nanos(duration - median);
             self.deliver_event(node, Event::DelayObserved { request, delay });
         }
     }
 
     /// Once a second nodes tell how long messages take, of one connection for each transcriber that is late, and
     /// once more when it no longer is.
-    pub(super) fn observe(&mut self) {
+    pub(super) fn report_message_delays(&mut self) {
         if self.scenario.nodes.delays != Delays::All {
             return;
         }
-        let least = self
+        let min_objective = self
             .message_objectives
             .iter()
             .copied()
             .fold(f64::INFINITY, f64::min);
-        for at in 0..self.fleet.len() {
-            let server = &self.fleet[at];
-            let (wait, own) = server.delay(self.now);
-            let silent = server.state == ServerState::Silent;
-            let gone = crate::event_queue::as_seconds(self.now.saturating_sub(server.silent_since));
-            let delay = if silent { gone } else { wait + own };
-            let late = delay > least / 3.0;
-            let was = std::mem::replace(&mut self.fleet[at].late, late);
-            if late || was {
+        for index in 0..self.fleet.len() {
+            let server = &self.fleet[index];
+            let (wait, service_time) = server.delay(self.now);
+            let is_unresponsive = server.state == ServerState::Unresponsive;
+            let unresponsive_s =
+                crate::event_queue::as_seconds(self.now.saturating_sub(server.unresponsive_since));
+            let delay = if is_unresponsive {
+                unresponsive_s
+            } else {
+                wait + service_time
+            };
+            let is_late = delay > min_objective / 3.0;
+            let was_late = std::mem::replace(&mut self.fleet[index].is_late, is_late);
+            if is_late || was_late {
                 let delay = Duration::from_secs_f64(delay);
-                for (node, request) in self.one_for_each_node(at as u32) {
+                for (node, request) in self.one_connection_per_node(index as u32) {
                     self.deliver_event(node, Event::DelayObserved { request, delay });
                 }
             }
@@ -73,16 +79,16 @@
     }
 
     /// One connection of each node that has any on this transcriber.
-    pub(super) fn one_for_each_node(&self, server: u32) -> Vec<(u32, RequestId)> {
-        let mut met = vec![false; self.nodes.len()];
+    pub(super) fn one_connection_per_node(&self, server: u32) -> Vec<(u32, RequestId)> {
+        let mut has_connection = vec![false; self.nodes.len()];
         let mut found = Vec::new();
-        for client in &self.fleet[server as usize].standing {
-            let held = &self.clients[*client as usize];
-            if held.phase == Phase::Connected
-                && !std::mem::replace(&mut met[held.node as usize], true)
+        for client in &self.fleet[server as usize].connected_clients {
+            let state = &self.clients[*client as usize];
+            if state.phase == Phase::Connected
+                && !std::mem::replace(&mut has_connection[state.node as usize], true)
             {
-                found.push((held.node, RequestId(held.request)));
-                if found.len() == met.len() {
+                found.push((state.node, RequestId(state.request)));
+                if found.len() == has_connection.len() {
                     break;
                 }
             }
@@ -91,32 +97,32 @@
     }
 
     /// Nodes notice that a transcriber answers nobody: each tells so, and of every connection that it still has there.
-    pub(super) fn notice_silence(&mut self, server: u32, incarnation: Incarnation) {
-        let at = &self.fleet[server as usize];
-        if at.state != ServerState::Silent || at.incarnation != incarnation {
+    pub(super) fn detect_unresponsive_server(&mut self, server: u32, incarnation: Incarnation) {
+        let model = &self.fleet[server as usize];
+        if model.state != ServerState::Unresponsive || model.incarnation != incarnation {
             return;
         }
-        let id = at.id.clone();
-        for (node, _) in self.one_for_each_node(server) {
-            let held = self.fleet[server as usize].standing.iter();
-            let held = held
+        let id = model.id.clone();
+        for (node, _) in self.one_connection_per_node(server) {
+            let clients = self.fleet[server as usize].connected_clients.iter();
+            let count = clients
                 .filter(|client| self.clients[**client as usize].node == node)
                 .count();
-            if held > 1 {
+            if count > 1 {
                 self.deliver_event(node, Event::ServerUnresponsive(id.clone()));
             }
         }
-        let left: Vec<u32> = self.fleet[server as usize].standing.clone();
-        for client in left {
-            let held = &self.clients[client as usize];
-            if held.phase == Phase::Connected && held.out == Some(server) {
-                let (node, request) = (held.node, RequestId(held.request));
+        let remaining: Vec<u32> = self.fleet[server as usize].connected_clients.clone();
+        for client in remaining {
+            let state = &self.clients[client as usize];
+            if state.phase == Phase::Connected && state.server == Some(server) {
+                let (node, request) = (state.node, RequestId(state.request));
                 self.deliver_event(node, Event::ConnectionUnresponsive(request));
             }
         }
         self.queue.schedule(
             self.now + SECOND,
-            SimulationEvent::SilenceNoticed(server, incarnation),
+            SimulationEvent::UnresponsiveDetected(server, incarnation),
         );
     }
 }
--- a/crates/simulator/src/world/servers.rs
+++ b/crates/simulator/src/world/servers.rs
@@ -1,11 +1,11 @@
 //! Transcribers in the world: set-ups, standing connections, crowding, pauses, drains and ends.
 
-use super::{Phase, World, EPOCH, NO_PLACE};
+use super::{Phase, World, CLOCK_START, NOT_CONNECTED};
 use crate::checker::{Rule, TraceSubject};
 use crate::event_queue::{
-    as_seconds, millis, seconds, Change, Incarnation, Moment, SimulationEvent,
+    as_seconds, millis, seconds, Incarnation, ServerChange, SimTime, SimulationEvent,
 };
-use crate::population::{stream, work};
+use crate::population::{setup_work, stream};
 use crate::server_model::{PendingSetup, ServedInterval, ServerModel, ServerState};
 use lupincrank_placement::{
     key_hash, rank_score, server_hash, Endpoint, Health, Outcome, ServerId, Timestamp,
@@ -20,60 +20,73 @@
     /// The transcribers of the start, all warm and listed.
     pub(super) fn build_fleet(&mut self) {
         let kinds = self.scenario.fleet.kind.clone();
-        let all: f64 = kinds.iter().map(|kind| kind.share).sum();
+        let total_share: f64 = kinds.iter().map(|kind| kind.share).sum();
         let count = self.scenario.fleet.transcribers;
         let mut owed = vec![0.0; kinds.len()];
-        for at in 0..count {
+        for index in 0..count {
             // Kinds take turns by their shares, so that a small fleet has them in the right parts.
             owed.iter_mut()
                 .zip(&kinds)
-                .for_each(|(owed, kind)| *owed += kind.share / all);
+                .for_each(|(owed, kind)| *owed += kind.share / total_share);
             let kind = (0..kinds.len())
                 .max_by(|a, b| owed[*a].total_cmp(&owed[*b]))
                 .unwrap_or(0);
             owed[kind] -= 1.0;
-            self.add_transcriber(at % self.scenario.net.zones, kind, None);
+            self.add_server(index % self.scenario.net.zones, kind, None);
         }
-        self.discovery.known = (0..count)
-            .map(|at| self.endpoint(at, Health::Ready))
+        self.discovery.endpoints = (0..count)
+            .map(|index| self.endpoint(index, Health::Ready))
             .collect();
     }
 
-    pub(super) fn add_transcriber(
+    pub(super) fn add_server(
         &mut self,
         zone: u32,
-        kind: usize,
-        started: Option<Moment>,
+        kind_index: usize,
+        started_at: Option<SimTime>,
     ) -> u32 {
-        let at = self.fleet.len() as u32;
-        let mut random = stream(self.seed, 6, u64::from(at));
-        let model = &self.scenario.fleet.kind[kind];
-        let normal: f64 = random.sample(StandardNormal);
-        let speed = model.speed * (1.0 + model.speed_cv * normal).clamp(0.3, 3.0);
-        let wrong = self.scenario.fleet.weight_error;
-        let weight = f64::from(model.cores) * (1.0 + random.gen_range(-1.0..=1.0) * wrong);
-        let id = ServerId::from(format!("10.{}.{:08x}:8000", zone + 1, random.next_u32()).as_str());
-        self.index.insert(id.clone(), at);
-        self.hashes.push(server_hash(&id));
-        let server = ServerModel::new(&self.scenario, id, zone, kind, speed, weight, started);
+        let index = self.fleet.len() as u32;
+        let mut rng = stream(self.seed, 6, u64::from(index));
+        let machine_kind = &self.scenario.fleet.kind[kind_index];
+        let normal: f64 = rng.sample(StandardNormal);
+        let speed = machine_kind.speed * (1.0 + machine_kind.speed_cv * normal).clamp(0.3, 3.0);
+        let weight_error = self.scenario.fleet.weight_error;
+        let weight =
+            f64::from(machine_kind.cores) * (1.0 + rng.gen_range(-1.0..=1.0) * weight_error);
+        let id = ServerId::from(format!("10.{}.{:08x}:8000", zone + 1, rng.next_u32()).as_str());
+        self.server_indices.insert(id.clone(), index);
+        self.server_hashes.push(server_hash(&id));
+        let server = ServerModel::new(
+            &self.scenario,
+            id,
+            zone,
+            kind_index,
+            speed,
+            weight,
+            started_at,
+        );
         self.fleet.push(server);
-        self.schedule_pause(at);
-        at
+        self.schedule_pause(index);
+        index
     }
 
     /// What discovery says of a transcriber.
-    pub(super) fn endpoint(&self, at: u32, health: Health) -> Endpoint {
-        let server = &self.fleet[at as usize];
-        let ahead = self.scenario.discovery.clock_ahead_s;
-        let told = |started: Moment| (started + EPOCH).saturating_add_signed((ahead * 1e9) as i64);
+    pub(super) fn endpoint(&self, index: u32, health: Health) -> Endpoint {
+        let server = &self.fleet[index as usize];
+        let clock_ahead_s = self.scenario.discovery.clock_ahead_s;
+        let reported = |started_at: SimTime| {
+            (started_at + CLOCK_START).saturating_add_signed((clock_ahead_s * 1e9) as i64)
+        };
         Endpoint {
             server: server.id.clone(),
             health,
             weight: server.weight,
             zone: server.zone,
             cell: 0,
-            machine_kind: server.kind as u32,
-            started_at: server.started.map(|started| Timestamp(told(started))),
+            machine_kind: server.kind_index as u32,
+            started_at: server
+                .started_at
+                .map(|started_at| Timestamp(reported(started_at))),
         }
     }
 
@@ -82,20 +95,20 @@
         let (key, group) = self.keys(client);
         let key = key_hash(group.as_deref().unwrap_or(&key));
         let scored = self
-            .hashes
+            .server_hashes
             .iter()
             .enumerate()
-            .map(|(at, hash)| (rank_score(*hash, key), at as u32));
-        let id = |at: u32| &self.fleet[at as usize].id;
+            .map(|(index, hash)| (rank_score(*hash, key), index as u32));
+        let id = |index: u32| &self.fleet[index as usize].id;
         scored
             .max_by(|a, b| a.0.cmp(&b.0).then_with(|| id(b.1).cmp(id(a.1))))
-            .map_or(0, |(_, at)| at)
+            .map_or(0, |(_, index)| index)
     }
 
     /// Advances a server's model to now and records what it served.
-    pub(super) fn advance(&mut self, at: u32) {
+    pub(super) fn advance(&mut self, index: u32) {
         let now = self.now;
-        let Some(server) = self.fleet.get_mut(at as usize) else {
+        let Some(server) = self.fleet.get_mut(index as usize) else {
             return;
         };
         let mut intervals: Vec<ServedInterval> = Vec::new();
@@ -105,10 +118,10 @@
         if intervals.is_empty() {
             return;
         }
-        let (wait, own) = server.delay(now);
-        let (answers, load) = (server.answers(), server.load());
-        let every = self.scenario.clients.message_every_s;
-        let mut span = 0.0;
+        let (wait, service_time) = server.delay(now);
+        let (is_serving, load) = (server.is_serving(), server.load());
+        let message_interval_s = self.scenario.clients.message_every_s;
+        let mut elapsed_s = 0.0;
         for interval in intervals {
             let ServedInterval {
                 class,
@@ -116,39 +129,48 @@
                 in_time_ratio,
                 duration_s,
             } = interval;
-            span = duration_s;
+            elapsed_s = duration_s;
             self.metrics
                 .record_service(class, now, connections * in_time_ratio * duration_s);
-            if answers {
-                let took = wait + own * self.chance.sample::<f64, _>(Exp1);
-                self.metrics
-                    .record_message(class, took, connections * duration_s / every);
+            if is_serving {
+                let delay = wait + service_time * self.rng.sample::<f64, _>(Exp1);
+                self.metrics.record_message(
+                    class,
+                    delay,
+                    connections * duration_s / message_interval_s,
+                );
             }
         }
-        self.metrics.setup_work.total_s += load * span;
+        self.metrics.setup_work.total_s += load * elapsed_s;
     }
 
     /// A client's connection joins a transcriber.
-    pub(super) fn join(&mut self, client: u32, server: u32) {
+    pub(super) fn add_connection(&mut self, client: u32, server: u32) {
         self.advance(server);
-        let held = &mut self.clients[client as usize];
-        held.load = held.usual;
-        held.place = self.fleet[server as usize].join(client, held.class, held.load, held.group);
+        let state = &mut self.clients[client as usize];
+        state.load = state.mean_load;
+        state.connection_index = self.fleet[server as usize].add_connection(
+            client,
+            state.class,
+            state.load,
+            state.group,
+        );
     }
 
     /// Ends whatever a client has at a transcriber.
     pub(super) fn release(&mut self, client: u32) {
-        let held = &mut self.clients[client as usize];
-        let Some(server) = held.out.take() else {
+        let state = &mut self.clients[client as usize];
+        let Some(server) = state.server.take() else {
             return;
         };
-        let place = std::mem::replace(&mut held.place, NO_PLACE);
-        let (class, load, group) = (held.class, held.load, held.group);
-        if place != NO_PLACE {
+        let connection_index = std::mem::replace(&mut state.connection_index, NOT_CONNECTED);
+        let (class, load, group) = (state.class, state.load, state.group);
+        if connection_index != NOT_CONNECTED {
             self.advance(server);
-            let moved = self.fleet[server as usize].leave(place, class, load, group);
+            let moved =
+                self.fleet[server as usize].remove_connection(connection_index, class, load, group);
             if let Some(moved) = moved {
-                self.clients[moved as usize].place = place;
+                self.clients[moved as usize].connection_index = connection_index;
             }
         }
     }
@@ -158,129 +180,133 @@
         &mut self,
         request: u64,
         attempt: u32,
-        at: u32,
+        index: u32,
         incarnation: Incarnation,
     ) {
         let Some(client) = self.client_of(request) else {
             return;
         };
-        let held = &self.clients[client as usize];
-        if held.attempts != attempt + 1 || held.out != Some(at) || held.answered {
+        let state = &self.clients[client as usize];
+        if state.attempts != attempt + 1 || state.server != Some(index) || state.answered {
             return; // called off on its way
         }
-        let (node, class, sent) = (held.node, held.class, held.sent);
+        let (node, class, sent) = (state.node, state.class, state.sent_at);
         let zone = self.nodes[node as usize].zone;
-        self.advance(at);
-        let back = self.network_delay(zone, self.fleet[at as usize].zone);
-        let server = &self.fleet[at as usize];
-        let fails = |world: &mut Self, when: Moment, outcome: Outcome| {
+        self.advance(index);
+        let return_delay = self.network_delay(zone, self.fleet[index as usize].zone);
+        let server = &self.fleet[index as usize];
+        let fail = |world: &mut Self, time: SimTime, outcome: Outcome| {
             world.queue.schedule(
-                when,
+                time,
                 SimulationEvent::AttemptEnded(request, attempt, outcome),
             );
         };
         let timeout = sent + millis(self.scenario.nodes.connect_timeout_ms);
-        let standing = server.standing.len() as u32 + server.busy + server.waiting.len() as u32;
+        let connections = server.connected_clients.len() as u32
+            + server.running_setups
+            + server.pending_setups.len() as u32;
         match server.state {
-            ServerState::Silent => {
-                return fails(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
+            ServerState::Unresponsive => {
+                return fail(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
+            }
+            ServerState::Down => {
+                return fail(self, self.now + return_delay, Outcome::ConnectFailed)
             }
-            ServerState::Down => return fails(self, self.now + back, Outcome::ConnectFailed),
             ServerState::Up | ServerState::Draining if server.incarnation != incarnation => {
-                return fails(self, self.now + back, Outcome::ConnectFailed)
+                return fail(self, self.now + return_delay, Outcome::ConnectFailed)
             }
-            ServerState::Draining => return fails(self, self.now + back, Outcome::Rejected),
-            ServerState::Up if standing >= server.cap() => {
-                return fails(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
+            ServerState::Draining => return fail(self, self.now + return_delay, Outcome::Rejected),
+            ServerState::Up if connections >= server.connection_limit() => {
+                return fail(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
             }
             ServerState::Up => {}
         }
-        self.check_cold_start(at, node, class);
-        if self.fleet[at as usize].state != ServerState::Up {
+        self.check_warm_up_overload(index, node, class);
+        if self.fleet[index as usize].state != ServerState::Up {
             return; // that pushed it over; its attempts have been ended
         }
-        let (slots, queue) = (
-            self.fleet[at as usize].slots(),
-            self.fleet[at as usize].model().queue,
+        let (setup_slots, max_pending) = (
+            self.fleet[index as usize].setup_slots(),
+            self.fleet[index as usize].machine_kind().queue,
         );
-        let job = work(
+        let work = setup_work(
             &self.scenario.class[class],
-            &mut self.clients[client as usize].random,
+            &mut self.clients[client as usize].rng,
         );
-        let waiting = PendingSetup {
+        let setup = PendingSetup {
             request,
             attempt,
-            work: job,
-            since: self.now,
+            work,
+            arrived_at: self.now,
         };
-        let server = &mut self.fleet[at as usize];
-        if server.busy < slots {
-            self.begin_setup(at, waiting);
-        } else if (server.waiting.len() as u32) < queue {
-            server.waiting.push_back(waiting);
+        let server = &mut self.fleet[index as usize];
+        if server.running_setups < setup_slots {
+            self.begin_setup(index, setup);
+        } else if (server.pending_setups.len() as u32) < max_pending {
+            server.pending_setups.push_back(setup);
         } else {
-            fails(self, self.now + back, Outcome::Rejected);
+            fail(self, self.now + return_delay, Outcome::Rejected);
         }
     }
 
     /// Counts what a cold transcriber is sent, and lets it fall over when that is too much.
-    fn check_cold_start(&mut self, at: u32, node: u32, class: usize) {
-        let knows = self.nodes[node as usize]
-            .knows_start
-            .get(at as usize)
+    fn check_warm_up_overload(&mut self, index: u32, node: u32, class: usize) {
+        let known_start = self.nodes[node as usize]
+            .known_starts
+            .get(index as usize)
             .copied()
             .unwrap_or(0);
-        let loads =
+        let load =
             self.scenario.class[class].load * self.scenario.load_unit() / self.scenario.mean_load();
-        let (multiple, span) = (
+        let (factor, window_s) = (
             self.scenario.rules.fall_multiple,
             self.scenario.rules.fall_s,
         );
-        let server = &mut self.fleet[at as usize];
-        let knows_start = knows == server.incarnation;
-        if !server.overloads_cold(self.now, loads, knows_start, multiple, span) {
+        let server = &mut self.fleet[index as usize];
+        let knows_start = known_start == server.incarnation;
+        if !server.add_warm_up_load(self.now, load, knows_start, factor, window_s) {
             return;
         }
-        let cold_load = server.cold_load;
-        self.metrics.fallen += 1;
-        self.record("fell over", node, 0, Some(at));
-        if cold_load.informed >= cold_load.total * 2.0 / 3.0 {
+        let warm_up_load = server.warm_up_load;
+        self.metrics.overloaded_servers += 1;
+        self.record("fell over", node, 0, Some(index));
+        if warm_up_load.from_informed_nodes >= warm_up_load.total * 2.0 / 3.0 {
             let what = format!(
-                "transcriber {at}, cold since {:.2} s, was sent {:.1} loads in a row, {:.1} of them by nodes \
+                "transcriber {index}, cold since {:.2} s, was sent {:.1} loads in a row, {:.1} of them by nodes \
                  that knew of its start",
-                as_seconds(self.now - self.fleet[at as usize].started.unwrap_or(0)),
-                cold_load.total,
-                cold_load.informed,
+                as_seconds(self.now - self.fleet[index as usize].started_at.unwrap_or(0)),
+                warm_up_load.total,
+                warm_up_load.from_informed_nodes,
             );
             self.checker
-                .report(Rule::Cold, self.now, TraceSubject::Server(at), what);
+                .report(Rule::Cold, self.now, TraceSubject::Server(index), what);
         }
-        let notice = seconds(self.scenario.discovery.notice_s);
-        let incarnation = self.fleet[at as usize].incarnation;
-        self.terminate_server(at);
+        let delay = seconds(self.scenario.discovery.notice_s);
+        let incarnation = self.fleet[index as usize].incarnation;
+        self.terminate_server(index);
         self.queue.schedule(
-            self.now + notice,
-            SimulationEvent::DiscoveryLearns(at, incarnation, Change::Gone),
+            self.now + delay,
+            SimulationEvent::DiscoveryUpdated(index, incarnation, ServerChange::Removed),
         );
     }
 
-    fn begin_setup(&mut self, at: u32, waiting: PendingSetup) {
+    fn begin_setup(&mut self, index: u32, setup: PendingSetup) {
         let now = self.now;
-        let server = &mut self.fleet[at as usize];
-        server.busy += 1;
-        let waited = as_seconds(now - waiting.since);
+        let server = &mut self.fleet[index as usize];
+        server.running_setups += 1;
+        let waited = as_seconds(now - setup.arrived_at);
         self.metrics.setup_waits.total_s += waited;
         self.metrics.setup_waits.started += 1;
         self.metrics.setup_waits.delayed += u64::from(waited > 0.0);
-        self.metrics.setup_work.total_s += waiting.work;
-        let takes = server.set_up_s(now, waiting.work);
+        self.metrics.setup_work.total_s += setup.work;
+        let duration_s = server.setup_duration_s(now, setup.work);
         if server.load() > 0.0 {
-            server.piled += waiting.work;
+            server.backlog += setup.work;
         }
-        let (request, attempt) = (waiting.request, waiting.attempt);
+        let (request, attempt) = (setup.request, setup.attempt);
         self.queue.schedule(
-            now + seconds(takes),
-            SimulationEvent::SetupDone(request, attempt, at, server.incarnation),
+            now + seconds(duration_s),
+            SimulationEvent::SetupDone(request, attempt, index, server.incarnation),
         );
     }
 
@@ -289,26 +315,27 @@
         &mut self,
         request: u64,
         attempt: u32,
-        at: u32,
+        index: u32,
         incarnation: Incarnation,
     ) {
-        if self.fleet[at as usize].incarnation != incarnation || !self.fleet[at as usize].answers()
+        if self.fleet[index as usize].incarnation != incarnation
+            || !self.fleet[index as usize].is_serving()
         {
             return;
         }
-        self.advance(at);
-        self.fleet[at as usize].busy -= 1;
-        while let Some(next) = self.fleet[at as usize].waiting.pop_front() {
+        self.advance(index);
+        self.fleet[index as usize].running_setups -= 1;
+        while let Some(next) = self.fleet[index as usize].pending_setups.pop_front() {
             // One that was called off while it waited costs nothing.
             if self
-                .awaiting_client(next.request, next.attempt, at)
+                .client_awaiting_setup(next.request, next.attempt, index)
                 .is_some()
             {
-                self.begin_setup(at, next);
+                self.begin_setup(index, next);
                 break;
             }
         }
-        let Some(client) = self.awaiting_client(request, attempt, at) else {
+        let Some(client) = self.client_awaiting_setup(request, attempt, index) else {
             self.metrics.setup_work.wasted_s += self
                 .scenario
                 .class
@@ -317,106 +344,111 @@
             return;
         };
         let node = self.clients[client as usize].node;
-        let back = self.network_delay(self.nodes[node as usize].zone, self.fleet[at as usize].zone);
-        if self.chance.gen::<f64>() < self.fleet[at as usize].model().error_rate {
+        let return_delay = self.network_delay(
+            self.nodes[node as usize].zone,
+            self.fleet[index as usize].zone,
+        );
+        if self.rng.gen::<f64>() < self.fleet[index as usize].machine_kind().error_rate {
             return self.queue.schedule(
-                self.now + back,
+                self.now + return_delay,
                 SimulationEvent::AttemptEnded(request, attempt, Outcome::Error),
             );
         }
-        self.join(client, at);
+        self.add_connection(client, index);
         self.queue.schedule(
-            self.now + back,
+            self.now + return_delay,
             SimulationEvent::ConnectionEstablished(request, attempt),
         );
     }
 
     /// The client whose attempt at this transcriber is still waited for.
-    fn awaiting_client(&self, request: u64, attempt: u32, at: u32) -> Option<u32> {
+    fn client_awaiting_setup(&self, request: u64, attempt: u32, index: u32) -> Option<u32> {
         let client = self.client_of(request)?;
-        let held = &self.clients[client as usize];
-        let wanted = held.phase == Phase::Requesting && !held.answered && held.out == Some(at);
-        (wanted && held.attempts == attempt + 1).then_some(client)
+        let state = &self.clients[client as usize];
+        let is_pending =
+            state.phase == Phase::Requesting && !state.answered && state.server == Some(index);
+        (is_pending && state.attempts == attempt + 1).then_some(client)
     }
 
     /// A crowded transcriber drops its newest connections until it can bear the rest.
-    pub(super) fn shed_load(&mut self, at: u32) {
-        let server = &self.fleet[at as usize];
-        if !server.answers()
-            || server.piled <= self.scenario.fleet.buffer_s * server.capacity(self.now)
+    pub(super) fn shed_load(&mut self, index: u32) {
+        let server = &self.fleet[index as usize];
+        if !server.is_serving()
+            || server.backlog <= self.scenario.fleet.buffer_s * server.capacity(self.now)
         {
             return;
         }
-        let mut newest: Vec<(Moment, u32)> = server
-            .standing
+        let mut newest: Vec<(SimTime, u32)> = server
+            .connected_clients
             .iter()
-            .map(|client| (self.clients[*client as usize].sent, *client))
+            .map(|client| (self.clients[*client as usize].sent_at, *client))
             .collect();
         newest.sort_unstable();
         while let Some((_, client)) = newest.pop() {
-            let server = &self.fleet[at as usize];
+            let server = &self.fleet[index as usize];
             if server.load() <= server.capacity(self.now) * SHED_TARGET_RATIO {
                 break;
             }
-            self.cut_off(client);
+            self.break_connection(client);
         }
     }
 
     /// A connection breaks: its node hears a reset, and its client comes again.
-    pub(super) fn cut_off(&mut self, client: u32) {
+    pub(super) fn break_connection(&mut self, client: u32) {
         match self.clients[client as usize].phase {
             Phase::Connected => {
-                self.metrics.cut += 1;
-                self.end_standing(client, Outcome::Reset);
+                self.metrics.broken_connections += 1;
+                self.end_connection(client, Outcome::Reset);
                 self.connection_lost(client, false);
             }
             Phase::Requesting => {
-                let held = &self.clients[client as usize];
-                let (request, attempt) = (held.request, held.attempts.saturating_sub(1));
+                let state = &self.clients[client as usize];
+                let (request, attempt) = (state.request, state.attempts.saturating_sub(1));
                 self.attempt_ended(request, attempt, Outcome::Reset);
             }
             Phase::Disconnected => {}
         }
     }
 
-    pub(super) fn schedule_pause(&mut self, at: u32) {
-        let server = &self.fleet[at as usize];
-        let every = server.model().pause_every_s;
-        if every > 0.0 {
-            let gap = seconds(every * self.chance.sample::<f64, _>(Exp1)).max(1);
+    pub(super) fn schedule_pause(&mut self, index: u32) {
+        let server = &self.fleet[index as usize];
+        let mean_interval_s = server.machine_kind().pause_every_s;
+        if mean_interval_s > 0.0 {
+            let gap = seconds(mean_interval_s * self.rng.sample::<f64, _>(Exp1)).max(1);
             let incarnation = server.incarnation;
             self.queue.schedule(
                 self.now + gap,
-                SimulationEvent::ServerPause(at, incarnation),
+                SimulationEvent::ServerPause(index, incarnation),
             );
         }
     }
 
     /// It stands still for a moment: what it could have done meanwhile is piled up.
-    pub(super) fn pause(&mut self, at: u32, incarnation: Incarnation) {
-        if self.fleet[at as usize].incarnation != incarnation || !self.fleet[at as usize].answers()
+    pub(super) fn pause_server(&mut self, index: u32, incarnation: Incarnation) {
+        if self.fleet[index as usize].incarnation != incarnation
+            || !self.fleet[index as usize].is_serving()
         {
             return;
         }
-        self.advance(at);
-        let server = &mut self.fleet[at as usize];
-        server.piled += server.capacity(self.now) * server.model().pause_ms / 1e3;
-        self.schedule_pause(at);
+        self.advance(index);
+        let server = &mut self.fleet[index as usize];
+        server.backlog += server.capacity(self.now) * server.machine_kind().pause_ms / 1e3;
+        self.schedule_pause(index);
     }
 
     /// It stops to answer: whatever it had is cut off.
-    pub(super) fn terminate_server(&mut self, at: u32) {
-        self.advance(at);
-        let server = &mut self.fleet[at as usize];
+    pub(super) fn terminate_server(&mut self, index: u32) {
+        self.advance(index);
+        let server = &mut self.fleet[index as usize];
         server.state = ServerState::Down;
         server.incarnation += 1;
-        server.busy = 0;
-        let waiting = std::mem::take(&mut server.waiting);
-        for client in server.standing.clone() {
-            self.cut_off(client);
+        server.running_setups = 0;
+        let pending_setups = std::mem::take(&mut server.pending_setups);
+        for client in server.connected_clients.clone() {
+            self.break_connection(client);
         }
-        for one in waiting {
-            let (request, attempt) = (one.request, one.attempt);
+        for setup in pending_setups {
+            let (request, attempt) = (setup.request, setup.attempt);
             self.queue.schedule(
                 self.now + millis(1.0),
                 SimulationEvent::AttemptEnded(request, attempt, Outcome::Reset),
@@ -425,63 +457,63 @@
     }
 
     /// It drains: it takes nothing new, sends its clients away bit by bit where that is its custom, and ends.
-    pub(super) fn drain(&mut self, at: u32, span: Moment) {
-        if self.fleet[at as usize].state != ServerState::Up {
+    pub(super) fn start_drain(&mut self, index: u32, duration: SimTime) {
+        if self.fleet[index as usize].state != ServerState::Up {
             return;
         }
-        self.advance(at);
-        self.fleet[at as usize].state = ServerState::Draining;
-        let incarnation = self.fleet[at as usize].incarnation;
-        let notice = seconds(self.scenario.discovery.notice_s);
+        self.advance(index);
+        self.fleet[index as usize].state = ServerState::Draining;
+        let incarnation = self.fleet[index as usize].incarnation;
+        let delay = seconds(self.scenario.discovery.notice_s);
         self.queue.schedule(
-            self.now + notice,
-            SimulationEvent::DiscoveryLearns(at, incarnation, Change::Drains),
+            self.now + delay,
+            SimulationEvent::DiscoveryUpdated(index, incarnation, ServerChange::Draining),
         );
         self.queue.schedule(
-            self.now + span,
-            SimulationEvent::ServerStops(at, incarnation),
+            self.now + duration,
+            SimulationEvent::ServerStops(index, incarnation),
         );
-        let count = self.fleet[at as usize].standing.len() as u64;
+        let count = self.fleet[index as usize].connected_clients.len() as u64;
         if self.scenario.fleet.goaway && count > 0 {
             // Evenly over nine tenths of the drain.
-            let gap = span * 9 / 10 / count;
+            let gap = duration * 9 / 10 / count;
             for number in 1..=count {
                 self.queue.schedule(
                     self.now + number * gap,
-                    SimulationEvent::DrainClient(at, incarnation),
+                    SimulationEvent::DrainClient(index, incarnation),
                 );
             }
         }
     }
 
-    pub(super) fn drain_client(&mut self, at: u32, incarnation: Incarnation) {
-        let server = &self.fleet[at as usize];
+    pub(super) fn drain_client(&mut self, index: u32, incarnation: Incarnation) {
+        let server = &self.fleet[index as usize];
         if server.incarnation != incarnation || server.state != ServerState::Draining {
             return;
         }
-        let standing = server.standing.iter().copied();
-        let first = standing
+        let connected_clients = server.connected_clients.iter().copied();
+        let first = connected_clients
             .filter(|client| self.clients[*client as usize].phase == Phase::Connected)
             .min();
         if let Some(client) = first {
-            self.metrics.sent_away += 1;
-            self.end_standing(client, Outcome::Cancelled);
+            self.metrics.drained_clients += 1;
+            self.end_connection(client, Outcome::Cancelled);
             self.connection_lost(client, true);
         }
     }
 
     /// A drained transcriber ends.
-    pub(super) fn stop_server(&mut self, at: u32, incarnation: Incarnation) {
-        if self.fleet[at as usize].incarnation != incarnation
-            || self.fleet[at as usize].state == ServerState::Down
+    pub(super) fn stop_server(&mut self, index: u32, incarnation: Incarnation) {
+        if self.fleet[index as usize].incarnation != incarnation
+            || self.fleet[index as usize].state == ServerState::Down
         {
             return;
         }
-        self.terminate_server(at);
-        let notice = seconds(self.scenario.discovery.notice_s);
+        self.terminate_server(index);
+        let delay = seconds(self.scenario.discovery.notice_s);
         self.queue.schedule(
-            self.now + notice,
-            SimulationEvent::DiscoveryLearns(at, incarnation, Change::Gone),
+            self.now + delay,
+            SimulationEvent::DiscoveryUpdated(index, incarnation, ServerChange::Removed),
         );
     }
 }
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -7,7 +7,7 @@
 use lupincrank_simulator::metrics::Outcome;
 use lupincrank_simulator::policy::{FleetState, Policy};
 use lupincrank_simulator::scenario::{parse, Scenario};
-use lupincrank_simulator::world::play_with;
+use lupincrank_simulator::world::run_with_policy;
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 enum Misbehaviour {
     Nothing,
     /// It leaves every seventh request without an answer.
-    Forgets,
+    DropsRequests,
     /// It answers a request that it refused once more.
     AnswersTwice,
     /// It sends each request again at once, to the same transcriber.
-    SendsTwice,
+    StartsTwoAttempts,
     /// It sends again whatever ended, beyond what is allowed.
     RetriesForever,
     /// It keeps to the transcribers that leave.
@@ -33,8 +33,8 @@
 /// The module, with its actions altered by a misbehaviour.
 struct MisbehavingPolicy {
     misbehaviour: Misbehaviour,
-    module: Balancer,
-    leaving: BTreeSet<ServerId>,
+    balancer: Balancer,
+    draining: BTreeSet<ServerId>,
     started: Vec<ServerId>,
     listed: BTreeSet<ServerId>,
 }
@@ -45,7 +45,7 @@
             for entry in entries {
                 self.listed.insert(entry.server.clone());
                 if entry.health == Health::Draining {
-                    self.leaving.insert(entry.server.clone());
+                    self.draining.insert(entry.server.clone());
                 }
                 if entry.started_at.is_some() && entry.health == Health::Ready {
                     self.started.push(entry.server.clone());
@@ -65,12 +65,12 @@
                 continue;
             };
             let preferred = match self.misbehaviour {
-                Misbehaviour::PrefersDraining => self.leaving.last(),
+                Misbehaviour::PrefersDraining => self.draining.last(),
                 Misbehaviour::PrefersCold => self.started.last(),
                 _ => None,
             };
             *server = preferred.cloned().unwrap_or_else(|| server.clone());
-            if self.misbehaviour == Misbehaviour::SendsTwice {
+            if self.misbehaviour == Misbehaviour::StartsTwoAttempts {
                 extra.push(Action::StartAttempt {
                     request: *request,
                     server: server.clone(),
@@ -82,11 +82,11 @@
     }
 }
 
-fn forget_every_seventh(actions: &mut Vec<Action>) {
-    let forgotten = |request: &RequestId| (request.0 >> 24).is_multiple_of(7);
+fn drop_every_seventh(actions: &mut Vec<Action>) {
+    let is_dropped = |request: &RequestId| (request.0 >> 24).is_multiple_of(7);
     actions.retain(|action| match action {
         Action::StartAttempt { request, .. } | Action::Reject { request, .. } => {
-            !forgotten(request)
+            !is_dropped(request)
         }
         _ => true,
     });
@@ -104,7 +104,7 @@
             _ => None,
         };
         let from = actions.len();
-        self.module.handle(now, event, actions);
+        self.balancer.handle(now, event, actions);
         let mut extra = self.redirect_attempts(&mut actions[from..]);
         if let (Misbehaviour::RetriesForever, Some(request), Some(server)) =
             (self.misbehaviour, ended, self.listed.first())
@@ -117,13 +117,13 @@
                 timeout,
             });
         }
-        let refused = |action: &&Action| matches!(action, Action::Reject { .. });
+        let is_rejection = |action: &&Action| matches!(action, Action::Reject { .. });
         if self.misbehaviour == Misbehaviour::AnswersTwice {
-            extra.extend(actions[from..].iter().filter(refused).cloned());
+            extra.extend(actions[from..].iter().filter(is_rejection).cloned());
         }
         actions.extend(extra);
-        if self.misbehaviour == Misbehaviour::Forgets {
-            forget_every_seventh(actions);
+        if self.misbehaviour == Misbehaviour::DropsRequests {
+            drop_every_seventh(actions);
         }
     }
 }
@@ -152,47 +152,40 @@
         for_s = 10.0
         part = 0.2
     "#;
-    parse("judges", text).expect("a scenario that holds")
+    parse("judges", text).expect("a valid scenario")
 }
 
-fn play_misbehaving(misbehaviour: Misbehaviour) -> Outcome {
-    let make = |settings: Settings, seed: u64| -> Box<dyn Policy> {
+fn run_misbehaving(misbehaviour: Misbehaviour) -> Outcome {
+    let create_policy = |settings: Settings, seed: u64| -> Box<dyn Policy> {
         Box::new(MisbehavingPolicy {
             misbehaviour,
-            module: Balancer::new(settings, seed),
-            leaving: BTreeSet::new(),
+            balancer: Balancer::new(settings, seed),
+            draining: BTreeSet::new(),
             started: Vec::new(),
             listed: BTreeSet::new(),
         })
     };
-    play_with(&scenario(), 3, "faulty", false, &make)
+    run_with_policy(&scenario(), 3, "faulty", false, &create_policy)
 }
 
 #[rstest]
-#[case(Misbehaviour::Forgets, Rule::FinalAnswer)]
+#[case(Misbehaviour::DropsRequests, Rule::FinalAnswer)]
 #[case(Misbehaviour::AnswersTwice, Rule::FinalAnswer)]
-#[case(Misbehaviour::SendsTwice, Rule::Attempts)]
+#[case(Misbehaviour::StartsTwoAttempts, Rule::Attempts)]
 #[case(Misbehaviour::RetriesForever, Rule::Attempts)]
 #[case(Misbehaviour::PrefersDraining, Rule::Drain)]
 #[case(Misbehaviour::PrefersCold, Rule::Cold)]
 fn the_checker_reports_each_broken_rule(#[case] misbehaviour: Misbehaviour, #[case] rule: Rule) {
-    let run = play_misbehaving(misbehaviour);
+    let run = run_misbehaving(misbehaviour);
     let found = run.rules_broken.iter().find(|broken| broken.rule == rule);
-    let found =
-        found.unwrap_or_else(|| panic!("{misbehaviour:?} was not caught: {:?}", run.rules_broken));
-    assert!(
-        !found.trace.is_empty(),
-        "the last events of the offender are shown"
-    );
+    let found = found
+        .unwrap_or_else(|| panic!("{misbehaviour:?} was not reported: {:?}", run.rules_broken));
+    assert!(!found.trace.is_empty(), "the violation has no trace");
 }
 
 #[test]
 fn the_checker_reports_nothing_about_the_module() {
-    let run = play_misbehaving(Misbehaviour::Nothing);
+    let run = run_misbehaving(Misbehaviour::Nothing);
     assert_eq!(run.rules_broken, [], "{:?}", run.rules_broken);
-    assert!(
-        run.attempts > 100,
-        "it was kept busy: {} attempts",
-        run.attempts
-    );
+    assert!(run.attempts > 100, "too few attempts: {}", run.attempts);
 }
--- a/crates/simulator/tests/closed_forms.rs
+++ b/crates/simulator/tests/closed_forms.rs
@@ -2,27 +2,33 @@
 
 use lupincrank_simulator::policy::PolicyName;
 use lupincrank_simulator::scenario::{parse, Scenario};
-use lupincrank_simulator::world::play;
+use lupincrank_simulator::world::run_scenario;
 use rstest::rstest;
 
-const LINES: u32 = 6;
+const CHANNELS: u32 = 6;
 
 /// The share of arrivals that find all lines taken, for an offered load in lines.
-fn erlang_b(load: f64, lines: u32) -> f64 {
-    (1..=lines).fold(1.0, |blocked, line| {
-        let more = load * blocked;
-        more / (f64::from(line) + more)
+fn erlang_b(load: f64, channels: u32) -> f64 {
+    (1..=channels).fold(1.0, |blocked, channel| {
+        let offered = load * blocked;
+        offered / (f64::from(channel) + offered)
     })
 }
 
 /// The share of arrivals that wait.
-fn erlang_c(load: f64, lines: u32) -> f64 {
-    let (blocked, used) = (erlang_b(load, lines), load / f64::from(lines));
-    blocked / (1.0 - used * (1.0 - blocked))
+fn erlang_c(load: f64, channels: u32) -> f64 {
+    let (blocked, utilization) = (erlang_b(load, channels), load / f64::from(channels));
+    blocked / (1.0 - utilization * (1.0 - blocked))
 }
 
 /// One transcriber, one node, no delays, no second tries: a bare queue.
-fn bare(rate: f64, length_s: f64, life_s: f64, work_ms: f64, cap: u32) -> Scenario {
+fn single_server_scenario(
+    rate: f64,
+    length_s: f64,
+    life_s: f64,
+    work_ms: f64,
+    cap: u32,
+) -> Scenario {
     let text = format!(
         r"
         version = 1
@@ -33,7 +39,7 @@
         cap_connections = {cap}
         group_cost = 0.0
         [[fleet.kind]]
-        cores = {LINES}
+        cores = {CHANNELS}
         queue = 1000000
         [nodes]
         count = 1
@@ -60,7 +66,7 @@
         deadline_ms = 600000.0
         "
     );
-    parse("bare", &text).expect("a scenario that holds")
+    parse("bare", &text).expect("a valid scenario")
 }
 
 #[rstest]
@@ -68,17 +74,17 @@
 #[case(4.0)]
 #[case(7.0)]
 fn a_full_server_blocks_as_erlang_b_predicts(#[case] load: f64) {
-    let scenario = bare(load, 40_000.0, 1.0, 0.0, LINES);
-    let (mut blocked, mut asked) = (0, 0);
+    let scenario = single_server_scenario(load, 40_000.0, 1.0, 0.0, CHANNELS);
+    let (mut blocked, mut attempts) = (0, 0);
     for seed in 1..=4 {
-        let run = play(&scenario, seed, PolicyName::Plain);
+        let run = run_scenario(&scenario, seed, PolicyName::Plain);
         blocked += run.no_connect;
-        asked += run.attempts;
+        attempts += run.attempts;
     }
-    let (seen, told) = (blocked as f64 / asked as f64, erlang_b(load, LINES));
+    let (observed, expected) = (blocked as f64 / attempts as f64, erlang_b(load, CHANNELS));
     assert!(
-        (seen / told - 1.0).abs() < 0.02,
-        "load {load}: blocked {seen:.5}, Erlang B says {told:.5}"
+        (observed / expected - 1.0).abs() < 0.02,
+        "load {load}: blocking probability {observed:.5}, Erlang B gives {expected:.5}"
     );
 }
 
@@ -88,22 +94,22 @@
 #[case(5.1)]
 fn setups_wait_as_erlang_c_predicts(#[case] load: f64) {
     let (work_s, rate) = (0.05, load / 0.05);
-    let scenario = bare(rate, 4_000.0, 1e6, work_s * 1e3, 0);
-    let (mut waits, mut waited) = (0.0, 0.0);
+    let scenario = single_server_scenario(rate, 4_000.0, 1e6, work_s * 1e3, 0);
+    let (mut mean_wait_s, mut delayed_ratio) = (0.0, 0.0);
     let seeds = 4;
     for seed in 1..=seeds {
-        let run = play(&scenario, seed, PolicyName::Plain);
-        waits += run.set_up_wait_ms / 1e3 / seeds as f64;
-        waited += run.set_up_waited / seeds as f64;
+        let run = run_scenario(&scenario, seed, PolicyName::Plain);
+        mean_wait_s += run.set_up_wait_ms / 1e3 / seeds as f64;
+        delayed_ratio += run.set_up_waited / seeds as f64;
     }
-    let share = erlang_c(load, LINES);
-    let told = share * work_s / (f64::from(LINES) - load);
+    let expected_ratio = erlang_c(load, CHANNELS);
+    let expected = expected_ratio * work_s / (f64::from(CHANNELS) - load);
     assert!(
-        (waited / share - 1.0).abs() < 0.02,
-        "load {load}: {waited:.5} waited, Erlang C says {share:.5}"
+        (delayed_ratio / expected_ratio - 1.0).abs() < 0.02,
+        "load {load}: delay probability {delayed_ratio:.5}, Erlang C gives {expected_ratio:.5}"
     );
     assert!(
-        (waits / told - 1.0).abs() < 0.02,
-        "load {load}: a mean wait of {waits:.6} s, theory says {told:.6}"
+        (mean_wait_s / expected - 1.0).abs() < 0.02,
+        "load {load}: mean wait {mean_wait_s:.6} s, theory gives {expected:.6} s"
     );
 }
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -3,7 +3,7 @@
 use lupincrank_simulator::experiments::{compare, search, sweep, Estimate};
 use lupincrank_simulator::policy::PolicyName;
 use lupincrank_simulator::scenario::{load, parse, Scenario};
-use lupincrank_simulator::world::play;
+use lupincrank_simulator::world::run_scenario;
 use rstest::rstest;
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
 }
 
 fn small() -> Scenario {
-    let mut scenario = load(&scenarios().join("sabhalekh.toml")).expect("a scenario that holds");
+    let mut scenario = load(&scenarios().join("sabhalekh.toml")).expect("a valid scenario");
     scenario.length_s = 20.0;
     scenario
 }
@@ -24,12 +24,12 @@
         let pool = rayon::ThreadPoolBuilder::new()
             .num_threads(threads)
             .build()
-            .expect("a pool of threads");
+            .expect("a thread pool");
         pool.install(|| {
             let sides = compare::compare(&scenario, &PolicyName::ALL, 1..4, || ());
             let runs: Vec<_> = PolicyName::ALL
                 .iter()
-                .map(|name| play(&scenario, 7, *name))
+                .map(|name| run_scenario(&scenario, 7, *name))
                 .collect();
             serde_json::to_string(&(sides, runs)).expect("results are JSON")
         })
@@ -37,9 +37,9 @@
     assert_eq!(bytes(1), bytes(4));
     assert_eq!(bytes(4), bytes(4));
     assert_ne!(
-        play(&scenario, 7, PolicyName::Module),
-        play(&scenario, 8, PolicyName::Module),
-        "seeds differ"
+        run_scenario(&scenario, 7, PolicyName::Module),
+        run_scenario(&scenario, 8, PolicyName::Module),
+        "different seeds gave the same outcome"
     );
 }
 
@@ -51,15 +51,12 @@
     scenario.clients.most = 3_000;
     let mut peak = |length_s: f64| {
         scenario.length_s = length_s;
-        let run = play(&scenario, 1, PolicyName::Plain);
-        assert!(run.turned_away > 0, "the world is full");
+        let run = run_scenario(&scenario, 1, PolicyName::Plain);
+        assert!(run.turned_away > 0, "the client limit was not reached");
         run.peak_queue
     };
     let (short, long) = (peak(60.0), peak(240.0));
-    assert!(
-        long < 3_000 * 12,
-        "{long} happenings waited for 3,000 clients"
-    );
+    assert!(long < 3_000 * 12, "{long} queued events for 3,000 clients");
     assert!(long < short * 3 / 2, "{short} at 60 s, {long} at 240 s");
 }
 
@@ -69,21 +66,21 @@
         let mut scenario = small();
         scenario.fleet.transcribers = transcribers;
         scenario.nodes.count = transcribers / 10;
-        play(&scenario, 1, PolicyName::TwoChoices).events as f64
+        run_scenario(&scenario, 1, PolicyName::TwoChoices).events as f64
     };
-    let (some, many) = (events(20), events(160));
+    let (small_fleet, large_fleet) = (events(20), events(160));
     assert!(
-        many / some < 8.0 * 1.3,
-        "{some} events at 20, {many} at 160 transcribers"
+        large_fleet / small_fleet < 8.0 * 1.3,
+        "{small_fleet} events with 20 servers, {large_fleet} with 160"
     );
 }
 
 #[test]
 fn every_scenario_of_the_folder_is_valid() {
     let mut seen = 0;
-    for file in std::fs::read_dir(scenarios()).expect("the folder") {
-        let path = file.expect("a file").path();
-        load(&path).unwrap_or_else(|wrong| panic!("{wrong:?}"));
+    for file in std::fs::read_dir(scenarios()).expect("the scenario directory") {
+        let path = file.expect("a directory entry").path();
+        load(&path).unwrap_or_else(|errors| panic!("{errors:?}"));
         seen += 1;
     }
     assert!(seen >= 12, "{seen} scenarios");
@@ -133,23 +130,23 @@
     #[case] place: &str,
     #[case] what: &str,
 ) {
-    let wrong = parse("x", text).expect_err("it does not hold");
+    let errors = parse("x", text).expect_err("an invalid scenario");
     assert!(
-        wrong
+        errors
             .iter()
-            .any(|wrong| wrong.place == place && wrong.what.contains(what)),
-        "{wrong:?}"
+            .any(|error| error.place == place && error.what.contains(what)),
+        "{errors:?}"
     );
 }
 
 #[test]
 fn all_values_out_of_bounds_are_reported_at_once() {
-    let wrong = parse(
+    let errors = parse(
         "x",
         "version = 1\n[nodes]\ncount = 0\nattempts = 9\n[net]\nzones = 0",
     )
-    .expect_err("wrong");
-    assert_eq!(wrong.len(), 3, "{wrong:?}");
+    .expect_err("invalid values");
+    assert_eq!(errors.len(), 3, "{errors:?}");
 }
 
 #[test]
@@ -157,14 +154,14 @@
     let axis = |text: &str| text.parse::<sweep::Axis>().expect("an axis");
     let grid = [axis("nodes.count=1,3"), axis("clients.load=0.2,0.6")];
     let rows = sweep::sweep("x", &small(), &grid, &[PolicyName::Random], 1..3, || ())
-        .expect("a grid that holds");
+        .expect("a valid grid");
     assert_eq!(rows.len(), 4);
-    let service = |at: usize| rows[at].figures[0].1.mean;
+    let service = |index: usize| rows[index].figures[0].1.mean;
     assert!(
         service(0) > service(1) && service(2) > service(3),
-        "more load, less service: {rows:?}"
+        "service did not fall with load: {rows:?}"
     );
-    let wrong = sweep::sweep(
+    let errors = sweep::sweep(
         "x",
         &small(),
         &[axis("nodes.cuont=1")],
@@ -172,25 +169,25 @@
         1..2,
         || (),
     );
-    assert!(format!("{:?}", wrong.expect_err("no such key")).contains("the nearest is `count`"));
+    assert!(format!("{:?}", errors.expect_err("no such key")).contains("the nearest is `count`"));
 }
 
 #[test]
 fn a_shrunk_scenario_is_saved_and_replays_with_the_same_gap() {
     let others = [PolicyName::TwoChoices];
-    let worst = search::find_worst(&small(), 5, 8, &others, || ()).expect("a day");
+    let worst = search::find_worst(&small(), 5, 8, &others, || ()).expect("a scenario");
     let (before, gap) = (worst.scenario.faults.len(), worst.gap);
-    let small = search::shrink(worst, &others);
+    let shrunk = search::shrink(worst, &others);
     assert!(
-        small.scenario.faults.len() <= before && small.gap >= gap * 0.8,
-        "{small:?}"
+        shrunk.scenario.faults.len() <= before && shrunk.gap >= gap * 0.8,
+        "{shrunk:?}"
     );
-    let text = toml::to_string(&small.scenario).expect("it can be written");
-    let again = parse("saved", &text).expect("it can be read");
-    let found = again.found.clone().expect("what was found");
-    let replayed = search::evaluate(again, found.seed, &others);
-    assert!(small.gap.is_finite(), "{small:?}");
-    assert_eq!(replayed.gap.to_bits(), small.gap.to_bits());
+    let text = toml::to_string(&shrunk.scenario).expect("a serialized scenario");
+    let reloaded = parse("saved", &text).expect("a valid scenario");
+    let found = reloaded.found.clone().expect("the search result");
+    let replayed = search::evaluate(reloaded, found.seed, &others);
+    assert!(shrunk.gap.is_finite(), "{shrunk:?}");
+    assert_eq!(replayed.gap.to_bits(), shrunk.gap.to_bits());
 }
 
 #[test]
