--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,63 +1,63 @@
-//! The four rules, checked on every event with the true state, and the trace of each violation.
+//! The four rules, checked on every event against the true state, and the trace of each violation.
 
 use crate::event_queue::{as_seconds, SimTime};
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Events that are kept for traces, and shown in one.
+/// The number of events that are kept for traces, and that one trace shows.
 const MAX_TRACE_ENTRIES: usize = 4096;
 const SHOWN_TRACE_ENTRIES: usize = 12;
-/// Violations that are reported in full; the rest are counted.
+/// The number of violations that are reported in full; the others are counted.
 const MAX_DETAILED_VIOLATIONS: usize = 20;
 
 /// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each request taken gets one final answer in time.
+    /// Each request that a node receives gets one final answer in time.
     FinalAnswer,
-    /// One attempt at a time, and no more than are allowed.
+    /// Attempts of a request do not overlap and stay within their limit.
     Attempts,
-    /// Nothing new to a transcriber past the grace.
+    /// A server receives nothing new after the drain grace.
     Drain,
-    /// No cold transcriber is pushed over.
+    /// No server fails from overload while it is warming up.
     Cold,
 }
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When, in seconds.
+    /// The time of the violation, in seconds.
     pub at_s: f64,
-    /// How.
+    /// A description of the violation.
     pub what: String,
-    /// The last events of the request or transcriber.
+    /// The last events of the request or server.
     pub trace: Vec<String>,
 }
 
-/// One event of a trace.
+/// An event for traces.
 #[derive(Clone, Copy)]
 pub struct TraceEntry {
-    /// When.
+    /// The time of the event.
     pub time: SimTime,
-    /// What.
+    /// A description of the event.
     pub event: &'static str,
     /// The node.
     pub node: u32,
     /// The request, 0 for none.
     pub request: u64,
-    /// The transcriber, if any.
+    /// The server, if any.
     pub server: Option<u32>,
 }
 
-/// The subject whose last events a trace shows.
+/// The subject of a violation, whose last events its trace shows.
 #[derive(Clone, Copy)]
 pub enum TraceSubject {
-    /// A request's.
+    /// A request.
     Request(u64),
-    /// A transcriber's.
+    /// A server.
     Server(u32),
 }
 
@@ -67,7 +67,7 @@
     entries: VecDeque<TraceEntry>,
     /// The first violations.
     pub violations: Vec<Violation>,
-    /// Violations in all.
+    /// The number of all violations.
     pub violation_count: u64,
 }
 
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -4,28 +4,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A moment of simulated time, in nanoseconds from the start. The machine's clock never enters.
+/// A time or duration in simulated nanoseconds; times count from the start of the run. It never depends on the wall
+/// clock.
 pub type SimTime = u64;
 
 /// Nanoseconds in a second.
 pub const SECOND: SimTime = 1_000_000_000;
 
-/// A span given in seconds.
+/// Converts a duration from seconds.
 pub fn seconds(duration: f64) -> SimTime {
     (duration.max(0.0) * SECOND as f64) as SimTime
 }
 
-/// A span given in milliseconds.
+/// Converts a duration from milliseconds.
 pub fn millis(duration: f64) -> SimTime {
     seconds(duration / 1e3)
 }
 
-/// A moment in seconds.
+/// Converts a time to seconds.
 pub fn as_seconds(time: SimTime) -> f64 {
     time as f64 / SECOND as f64
 }
 
-/// Counts the starts of a process or client: what was scheduled for an earlier incarnation is void.
+/// The number of starts of a process or client. Events scheduled for an earlier incarnation are ignored.
 pub type Incarnation = u32;
 
 /// An event of the simulation.
@@ -35,70 +36,70 @@
     ClientArrival,
     /// A client opens a connection.
     ClientConnects(u32, Incarnation),
-    /// A client no longer wants its connection.
+    /// A client leaves for good.
     ClientLeaves(u32, Incarnation),
-    /// A standing connection's load changes.
+    /// The load of an established connection changes.
     LoadChanges(u32, Incarnation),
-    /// A client is answered without a connection; whether it was rejected, and its Retry-After in ms.
+    /// A client receives an answer without a connection: whether it was rejected, and its Retry-After in ms.
     ClientAnswered(u32, u64, bool, u32),
-    /// A node takes a request.
+    /// A node receives a request.
     RequestReceived(u64),
     /// An attempt's timeout expires.
     AttemptTimeout(u64, u32),
-    /// The deadline of the final answer expires.
+    /// The time limit of the final answer expires.
     AnswerOverdue(u64),
-    /// An attempt's first line arrives at a transcriber.
+    /// An attempt's first line arrives at a server.
     AttemptArrives(u64, u32, u32, Incarnation),
-    /// A set-up is done.
+    /// A setup is done.
     SetupDone(u64, u32, u32, Incarnation),
     /// A node learns how an attempt ended.
     AttemptEnded(u64, u32, Outcome),
     /// A node learns that the connection is established.
     ConnectionEstablished(u64, u32),
-    /// A node's timer.
+    /// A node's timer fires.
     NodeTimer(u32, Incarnation, Timer),
-    /// The accounts of every server are brought up to date, each half second.
+    /// The model of every server is brought up to date, every half second.
     ServerUpkeep,
     /// Metrics are sampled, once a second.
     MetricsSample,
-    /// A transcriber pauses.
+    /// A server pauses.
     ServerPause(u32, Incarnation),
     /// Discovery learns of a change.
     DiscoveryUpdated(u32, Incarnation, ServerChange),
     /// A node is notified of changed endpoints.
     NodeNotified(u32, Incarnation),
-    /// A call to discovery ends; whether it was answered.
+    /// A node's call to discovery ends: whether it was answered.
     WatchCallEnded(u32, Incarnation, bool),
-    /// A fault begins, or takes its next step.
+    /// A fault starts, or its next step does.
     FaultStep(u32, u32),
     /// A fault ends.
     FaultEnds(u32),
-    /// A draining transcriber sends one client away.
+    /// A draining server sends one client away.
     DrainClient(u32, Incarnation),
-    /// A transcriber ends.
+    /// A server terminates.
     ServerStops(u32, Incarnation),
-    /// The machine that replaces a transcriber starts.
+    /// The machine that replaces a server starts.
     ServerReplaced(u32),
     /// A node starts.
     NodeStarts(u32),
-    /// The front adds or removes a node.
+    /// The front load balancer adds or removes a node.
     FrontUpdated(u32, Incarnation, bool),
-    /// Nodes notice that a server is unresponsive.
+    /// Nodes detect that a server is unresponsive.
     UnresponsiveDetected(u32, Incarnation),
 }
 
 /// A change of a server that discovery learns of.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerChange {
-    /// It runs.
+    /// The server started.
     Started,
-    /// It drains.
+    /// The server is draining.
     Draining,
-    /// It is gone.
+    /// The server terminated or became unresponsive.
     Removed,
 }
 
-/// Events in the order of time; of those at one moment the first put in comes first.
+/// Events in time order; events of the same time are in the order in which they were scheduled.
 #[derive(Default)]
 pub struct EventQueue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -130,7 +131,7 @@
 }
 
 impl EventQueue {
-    /// Schedules an event. Costs the logarithm of what is there.
+    /// Schedules an event, in time logarithmic in the queue's length.
     pub fn schedule(&mut self, time: SimTime, event: SimulationEvent) {
         self.serial += 1;
         self.heap.push(Reverse(Entry {
@@ -141,7 +142,7 @@
         self.peak = self.peak.max(self.heap.len());
     }
 
-    /// Removes the next event up to a moment.
+    /// Removes and returns the next event, unless it is after `end`.
     pub fn pop_until(&mut self, end: SimTime) -> Option<(SimTime, SimulationEvent)> {
         if self.heap.peek().is_none_or(|next| next.0.time > end) {
             return None;
@@ -151,7 +152,7 @@
             .map(|Reverse(entry)| (entry.time, entry.event))
     }
 
-    /// Returns the most events that ever waited.
+    /// Returns the peak length of the queue.
     pub fn peak(&self) -> usize {
         self.peak
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Discrete-event simulator of the service. It runs the placement crate unchanged, one instance for each node, against
-//! a model of servers, clients, discovery and faults. A checker that sees the state of all servers reports broken rules.
+//! Discrete-event simulator of the service. It runs the placement crate unchanged, one instance per node, against a
+//! model of servers, clients, discovery and faults. A checker that sees the state of all servers reports violations.
 //!
-//! [`world::play`] simulates one scenario; [`experiments`] builds on it. The same scenario, seed and policy always give
-//! the same outcome, to the byte.
+//! [`world::run_scenario`] simulates one scenario; [`experiments`] builds on it. The same scenario, seed and policy
+//! always give the same outcome, to the byte.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -6,70 +6,70 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Length of the window of which the worst one counts, in seconds.
+/// The length of the windows of which the worst one counts, in seconds.
 const WINDOW_S: usize = 10;
 
-/// Collects metrics while the simulation runs. Memory grows with its length and its classes only.
+/// Collects metrics while the simulation runs. Its memory grows only with the run's length and the number of classes.
 pub struct RunMetrics {
-    /// Connection-seconds wanted and served well, by class and second.
+    /// Connection-seconds requested and served well, by class and second.
     demand: Vec<Vec<f64>>,
     served: Vec<Vec<f64>>,
     message_delays: Vec<Histogram<u64>>,
     message_fractions: Vec<f64>,
     setup_durations: Histogram<u64>,
-    /// Waits of set-ups for a slot.
+    /// The time that setups waited for a slot.
     pub setup_waits: SetupWaits,
     imbalance: RunningMean,
     utilization: RunningMean,
-    /// First tries, all tries of clients, attempts, and attempts across zones.
+    /// Clients' first requests.
     pub first_requests: u64,
-    /// All tries of clients.
+    /// All requests of clients, retries included.
     pub requests: u64,
     /// Attempts.
     pub attempts: u64,
-    /// Attempts that went to another zone.
+    /// Attempts to another zone.
     pub cross_zone_attempts: u64,
-    /// Moves that nodes asked for.
+    /// Migrations that nodes asked for.
     pub migrations: u64,
-    /// Clients that a draining transcriber sent away.
+    /// Clients that a draining server sent away.
     pub drained_clients: u64,
-    /// Connections that were cut off.
+    /// Connections that were broken.
     pub broken_connections: u64,
-    /// Refusals, failures, and attempts by how they ended badly.
+    /// Requests that nodes rejected or failed.
     pub failed_requests: u64,
-    /// Attempts turned away as full.
+    /// Attempts that a server rejected.
     pub rejected_attempts: u64,
-    /// Attempts that did not come up.
+    /// Attempts that could not connect.
     pub failed_connects: u64,
     /// Attempts that timed out.
     pub timed_out_attempts: u64,
-    /// Arrivals turned away since the world holds as many as it may.
+    /// Arrivals dropped at the scenario's limit of concurrent clients.
     pub dropped_arrivals: u64,
-    /// Work of set-ups.
-    pub setup_work: SetupWork,
-    /// Transcribers that fell over.
+    /// Work of setups and connections.
+    pub work: Work,
+    /// Servers that failed from overload.
     pub overloaded_servers: u64,
     length_s: f64,
     timeline: Vec<Sample>,
 }
 
-/// Waits of set-ups for a slot.
+/// The time that setups waited for a slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SetupWaits {
-    /// Seconds waited in all.
+    /// Total wait in seconds.
     pub total_s: f64,
-    /// Set-ups that were begun.
+    /// Setups started.
     pub started: u64,
-    /// Those of them that had to wait.
+    /// Setups that had to wait.
     pub delayed: u64,
 }
 
-/// Work of set-ups, in core seconds.
+/// Work of setups and connections, in core seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SetupWork {
-    /// Work in all.
+pub struct Work {
+    /// All work.
     pub total_s: f64,
-    /// Work for requests that nobody waited for any more.
+    /// Work of setups for requests that had already ended.
     pub wasted_s: f64,
 }
 
@@ -91,35 +91,35 @@
     }
 }
 
-/// A second of the time line.
+/// One second of the timeline.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// When, in seconds.
+    /// The time, in seconds.
     pub at_s: f64,
-    /// Load over capacity of each transcriber, empty for large fleets; none for one that is not up.
+    /// Load over capacity of each server, `None` for a server that is not up; empty for large fleets.
     pub used: Vec<Option<f64>>,
-    /// Standing connections.
+    /// Established connections.
     pub standing: u64,
-    /// Spread of load over capacity: standard deviation over mean.
+    /// Standard deviation of load over capacity, divided by its mean.
     pub imbalance: f64,
-    /// Share of the worth wanted in this second that was served well.
+    /// Fraction of the demand in this second that was served well, weighted by worth.
     pub service: f64,
 }
 
 /// The outcome of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassOutcome {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Share of the seconds wanted that were served well.
+    /// Fraction of the requested connection-seconds that was served well.
     pub service: f64,
-    /// Connection-seconds wanted.
+    /// Connection-seconds requested.
     pub wanted_s: f64,
-    /// Message delays in ms at the median, 90, 99 and 99.9 percent.
+    /// Message delays in ms: median, 90th, 99th and 99.9th percentile.
     pub message_ms: [f64; 4],
 }
 
-/// The outcome of a run. It has no figure of the machine's own clock, so that a seed always gives the same bytes.
+/// The outcome of a run. It contains no wall-clock measurement, so that a seed always gives the same bytes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Outcome {
     /// The scenario's name.
@@ -128,68 +128,68 @@
     pub seed: u64,
     /// The policy.
     pub policy: String,
-    /// Whether the policy sees what no node can.
+    /// Whether the policy sees state that no node can see.
     pub upper_bound: bool,
-    /// Service from 0 to 1: the goal's mix less what is taken off.
+    /// Service from 0 to 1: the weighted mix of the scenario's goal, less the penalties.
     pub service: f64,
-    /// The share of all worth wanted that was served well.
+    /// Fraction of the whole demand that was served well, weighted by worth.
     pub whole: f64,
-    /// ... in the worst 10 s.
+    /// The same fraction in the worst 10 s.
     pub worst_window: f64,
-    /// ... of the worst class.
+    /// The fraction served well of the worst class.
     pub worst_class: f64,
-    /// What was taken off for waste, crossings and moves.
+    /// Penalties for wasted work, cross-zone attempts and migrations.
     pub taken_off: f64,
-    /// Names of the rules that were broken, and how.
+    /// The violations of rules that are reported in full.
     pub rules_broken: Vec<Violation>,
-    /// How often in all.
+    /// The number of all violations.
     pub times_broken: u64,
-    /// Events played.
+    /// Events handled.
     pub events: u64,
-    /// The most events that waited at once.
+    /// The peak length of the event queue.
     pub peak_queue: usize,
-    /// Standard deviation of load over capacity among transcribers, over its mean, averaged over seconds.
+    /// Standard deviation of load over capacity among servers, divided by its mean, averaged over seconds.
     pub imbalance: f64,
     /// Mean load over capacity.
     pub used: f64,
-    /// Connections that nodes moved.
+    /// Connections that nodes migrated.
     pub moves: u64,
-    /// By class.
+    /// Outcomes by class.
     pub by_class: Vec<ClassOutcome>,
-    /// Set-ups in ms at the median, 90, 99 and 99.9 percent.
+    /// Setup durations in ms: median, 90th, 99th and 99.9th percentile.
     pub set_up_ms: [f64; 4],
-    /// Mean wait of set-ups for a slot in ms, and the share that waited.
+    /// Mean wait of setups for a slot, in ms.
     pub set_up_wait_ms: f64,
-    /// The share of set-ups that waited.
+    /// Fraction of setups that waited.
     pub set_up_waited: f64,
-    /// First tries.
+    /// Clients' first requests.
     pub firsts: u64,
-    /// All tries of clients.
+    /// All requests of clients, retries included.
     pub tries: u64,
     /// Attempts.
     pub attempts: u64,
-    /// Refusals and failures.
+    /// Requests that nodes rejected or failed.
     pub refused: u64,
-    /// Attempts turned away as full.
+    /// Attempts that a server rejected.
     pub full: u64,
-    /// Attempts that did not come up.
+    /// Attempts that could not connect.
     pub no_connect: u64,
     /// Attempts that timed out.
     pub timed_out: u64,
-    /// Connections cut off.
+    /// Connections that were broken.
     pub cut: u64,
-    /// Clients that draining transcribers sent away.
+    /// Clients that draining servers sent away.
     pub sent_away: u64,
-    /// Transcribers that fell over.
+    /// Servers that failed from overload.
     pub fallen: u64,
-    /// Arrivals that the world had no room for.
+    /// Arrivals dropped at the scenario's limit of concurrent clients.
     pub turned_away: u64,
-    /// The time line, a second each.
+    /// The timeline, one sample per second.
     pub timeline: Vec<Sample>,
 }
 
 fn histogram() -> Histogram<u64> {
-    // From a microsecond to an hour with three digits; beyond that values saturate.
+    // From a microsecond to an hour with three digits; larger values saturate.
     Histogram::new_with_bounds(1, 3_600_000_000, 3)
         .unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
@@ -199,7 +199,7 @@
         .map(|percentile| histogram.value_at_percentile(percentile) as f64 / 1e3)
 }
 
-/// The mean of `count` values, 0 of none.
+/// Returns the mean of `count` values, 0 if there are none.
 fn mean(sum: f64, count: u64) -> f64 {
     if count > 0 {
         sum / count as f64
@@ -209,7 +209,7 @@
 }
 
 impl RunMetrics {
-    /// Empty metrics for a scenario.
+    /// Creates empty metrics for a scenario.
     pub fn new(scenario: &Scenario) -> Self {
         let (classes, seconds) = (scenario.class.len(), scenario.length_s.ceil() as usize);
         RunMetrics {
@@ -233,19 +233,19 @@
             failed_connects: 0,
             timed_out_attempts: 0,
             dropped_arrivals: 0,
-            setup_work: SetupWork::default(),
+            work: Work::default(),
             overloaded_servers: 0,
             length_s: scenario.length_s,
             timeline: Vec::new(),
         }
     }
 
-    /// Records that a client wants a connection from one moment to another.
+    /// Records that a client wants a connection between two times.
     pub fn record_demand(&mut self, class: usize, from: SimTime, until: SimTime) {
         self.add_demand(class, from, until, 1.0);
     }
 
-    /// Withdraws what `record_demand` counted from here on, as a client leaves early.
+    /// Withdraws demand recorded by `record_demand`, for a client that leaves early.
     pub fn withdraw_demand(&mut self, class: usize, from: SimTime, until: SimTime) {
         self.add_demand(class, from, until, -1.0);
     }
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Records connection-seconds of a class that were served well up to now.
+    /// Records connection-seconds of a class that were served well until `now`.
     pub fn record_service(&mut self, class: usize, now: SimTime, connection_seconds: f64) {
         let second = as_seconds(now.saturating_sub(1)) as usize;
         if let Some(served) = self
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Records the delay of some messages of a class, in seconds.
+    /// Records the delay of a number of messages of a class, in seconds. Fractions of a message are carried over.
     pub fn record_message(&mut self, class: usize, delay_s: f64, messages: f64) {
         let total = self.message_fractions[class] + messages;
         self.message_fractions[class] = total.fract();
@@ -285,13 +285,13 @@
             .saturating_record_n((delay_s * 1e6).max(1.0) as u64, total as u64);
     }
 
-    /// Records the duration of a set-up.
+    /// Records the duration of a setup.
     pub fn record_setup(&mut self, duration: SimTime) {
         self.setup_durations
             .saturating_record((duration / 1000).max(1));
     }
 
-    /// Records a second's sample of the fleet; the loads are kept if `keeps` says so.
+    /// Records one second's sample of the fleet, with the utilization of each server if `keeps_servers` is set.
     pub fn record_sample(
         &mut self,
         now: SimTime,
@@ -326,7 +326,7 @@
         });
     }
 
-    /// The share of what was wanted in some seconds that was served well, by worth.
+    /// Returns the fraction of the demand in some seconds that was served well, weighted by worth.
     fn served_ratio(&self, worths: &[f64], seconds: std::ops::Range<usize>) -> f64 {
         let sum = |counts: &[Vec<f64>]| -> f64 {
             let class = |(class, worth): (usize, &f64)| {
@@ -344,7 +344,7 @@
         (sum(&self.served) / demand).min(1.0)
     }
 
-    /// What each class got over the whole run.
+    /// Returns the outcome of each class over the whole run.
     fn by_class(&self, scenario: &Scenario) -> Vec<ClassOutcome> {
         let classes = scenario.class.len();
         let seconds = self.demand.first().map_or(0, Vec::len);
@@ -366,15 +366,15 @@
             .collect()
     }
 
-    /// What is taken off the service for wasted work, attempts across zones and moves.
+    /// Returns the penalty on service for wasted work, cross-zone attempts and migrations.
     fn penalty(&self, goal: &Goal) -> f64 {
         let firsts = (self.first_requests as f64).max(1.0);
-        goal.waste * self.setup_work.wasted_s / self.setup_work.total_s.max(1e-9)
+        goal.waste * self.work.wasted_s / self.work.total_s.max(1e-9)
             + goal.cross_zone * self.cross_zone_attempts as f64 / firsts
             + goal.moves * self.migrations as f64 / firsts
     }
 
-    /// The time line, with the service of each second filled in.
+    /// Returns the timeline, with the service of each second filled in.
     fn take_timeline(&mut self, worths: &[f64]) -> Vec<Sample> {
         let mut timeline = std::mem::take(&mut self.timeline);
         for sample in &mut timeline {
@@ -384,7 +384,7 @@
         timeline
     }
 
-    /// Turns the counts into the result of the run.
+    /// Computes the outcome of the run.
     pub fn finish(mut self, scenario: &Scenario, summary: RunSummary) -> Outcome {
         let worths: Vec<f64> = scenario.class.iter().map(|class| class.worth).collect();
         let seconds = self.demand.first().map_or(0, Vec::len);
@@ -439,20 +439,20 @@
     }
 }
 
-/// What the outcome of a run holds beside the metrics.
+/// The values of a run's outcome that are not metrics.
 pub struct RunSummary {
     /// The seed.
     pub seed: u64,
     /// The policy's name.
     pub policy: String,
-    /// Whether it sees the true state.
+    /// Whether the policy sees the true state.
     pub upper_bound: bool,
-    /// Violation rules.
+    /// The violations that are reported in full.
     pub violations: Vec<Violation>,
-    /// How often rules were broken.
+    /// The number of all violations.
     pub violation_count: u64,
-    /// Events played.
+    /// Events handled.
     pub events: u64,
-    /// The most that waited.
+    /// The peak length of the event queue.
     pub peak_queue: usize,
 }
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,4 +1,4 @@
-//! Placement policies: the project's placement crate, and the baselines that it is compared with.
+//! Placement policies: the placement crate, and the baselines that it is compared with.
 
 use crate::event_queue::SimTime;
 use crate::server_model::{ServerModel, ServerState};
@@ -21,7 +21,8 @@
 }
 
 impl FleetState<'_> {
-    /// Load over capacity, with what is on its way to it left out; none if it takes nothing.
+    /// Returns load over capacity, plus the wait behind the backlog and a tenth of the setup slots in use; attempts on
+    /// their way do not count. `None` if the server accepts nothing.
     pub fn utilization(&self, server: &ServerId) -> Option<f64> {
         let index = *self.server_indices.get(server)?;
         let server = self
@@ -32,12 +33,12 @@
         Some(
             server.utilization(self.now)
                 + wait
-                + f64::from(server.running_setups) / f64::from(server.setup_slots().max(1)) * 0.1,
+                + f64::from(server.setups) / f64::from(server.setup_slots().max(1)) * 0.1,
         )
     }
 }
 
-/// The placement decisions of one node: events in, actions out.
+/// The placement policy of one node: events in, actions out.
 pub trait Policy: Send {
     /// Handles one event and appends the resulting actions.
     fn handle(
@@ -58,15 +59,15 @@
 /// The names of the policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyName {
-    /// The project's decisions.
+    /// The placement crate.
     Module,
-    /// Any ready transcriber.
+    /// Any ready server.
     Random,
-    /// The top product score, with no gate.
+    /// The server with the highest rank score, without limits.
     Plain,
-    /// Of two at random the one on which this node holds less.
+    /// Of two random servers, the one with fewer connections of this node.
     TwoChoices,
-    /// The least used by true state: an upper bound, since no node can see it.
+    /// The server with the lowest true utilization: an upper bound, since no node can see it.
     LeastLoaded,
 }
 
@@ -80,7 +81,7 @@
         PolicyName::LeastLoaded,
     ];
 
-    /// Returns the name as it is written on the command line.
+    /// Returns the name as used on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicyName::Module => "module",
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The names of all of them, for messages.
+    /// Returns the names of all policies, for messages.
     fn names() -> String {
         let names: Vec<&str> = PolicyName::ALL.iter().map(|name| name.as_str()).collect();
         names.join(", ")
@@ -106,7 +107,7 @@
     }
 }
 
-/// A policy's name that does not exist.
+/// An unknown policy name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("no policy is called {name:?}; there are {}", PolicyName::names())]
 pub struct UnknownPolicy {
@@ -127,20 +128,21 @@
     }
 }
 
-/// A baseline policy: it keeps the endpoint list and the rules on attempts, and retries attempts that never ran or timed out.
+/// A baseline policy: it keeps the endpoint list, follows the rules on attempts, and retries attempts that end before
+/// their connection is established.
 pub struct Baseline {
     name: PolicyName,
     settings: Settings,
     rng: Pcg32,
     servers: BTreeMap<ServerId, u32>,
-    /// Each server that was ever listed.
+    /// Each server that was ever in the endpoint list.
     known: Vec<KnownServer>,
-    /// The ready servers, as places in `known`.
+    /// The ready servers, as indices into `known`.
     ready: Vec<u32>,
     requests: HashMap<RequestId, RequestState>,
 }
 
-/// A server that was listed.
+/// A server that was in the endpoint list.
 struct KnownServer {
     hash: u32,
     id: ServerId,
@@ -297,7 +299,7 @@
         state.is_established
     }
 
-    /// Takes over an established connection from the node's former process.
+    /// Adds a connection that was established before this process started.
     fn inherit(&mut self, incoming: RequestInfo, server: &ServerId) {
         let id = incoming.request;
         let mut state = Self::new_request_state(incoming);
@@ -399,7 +401,8 @@
                 self.release(request);
                 self.requests.remove(&request);
             }
-            // A plain policy sends nobody away but for silence, where the node itself sees that nobody is served.
+            // A baseline migrates clients only off unresponsive servers, where the node itself sees that they are not
+            // served.
             Event::ConnectionUnresponsive(request) if self.requests.contains_key(&request) => {
                 actions.push(Action::Migrate(request));
             }
--- a/crates/simulator/src/population.rs
+++ b/crates/simulator/src/population.rs
@@ -1,5 +1,5 @@
-//! Who the clients are: classes, lives, loads and groups, each drawn from the client's own stream of random numbers,
-//! so that every policy meets the same ones.
+//! The clients of a run: classes, connection durations, loads and groups. Each is drawn from the client's own stream
+//! of random numbers, so that every policy gets the same clients.
 
 use crate::event_queue::{seconds, SimTime};
 use crate::scenario::{Class, Scenario};
@@ -7,7 +7,7 @@
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal, StandardNormal, Zipf};
 use rand_pcg::Pcg32;
 
-/// A stream of random numbers of its own for each purpose.
+/// Returns a separate stream of random numbers for each purpose and index.
 pub fn stream(seed: u64, purpose: u64, index: u64) -> Pcg32 {
     // The multipliers only keep neighbouring seeds apart; the generator's seeding mixes them.
     Pcg32::seed_from_u64(
@@ -17,30 +17,30 @@
     )
 }
 
-/// A log-normal value of mean 1.
+/// Draws a log-normal value of mean 1.
 pub fn log_normal(rng: &mut Pcg32, sigma: f64) -> f64 {
     LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |distribution| distribution.sample(rng))
 }
 
-/// A delay of a mean with some jitter, never less than a tenth of it.
+/// Draws a delay with jitter, at least a tenth of the mean.
 pub fn jittered(rng: &mut Pcg32, mean_ms: f64, jitter: f64) -> SimTime {
     let normal: f64 = rng.sample(StandardNormal);
     seconds(mean_ms / 1e3 * (1.0 + jitter * normal).max(0.1))
 }
 
-/// A client as it is drawn.
+/// The properties drawn for a client.
 pub struct ClientDraw {
-    /// Its class.
+    /// The class.
     pub class: usize,
-    /// Its zone.
+    /// The zone.
     pub zone: u32,
-    /// Its group.
+    /// The group.
     pub group: Option<u32>,
-    /// How long it wants its connection, s.
+    /// How long the client wants its connection, in s.
     pub lifetime_s: f64,
-    /// Its usual load, in cores of speed 1.
+    /// The mean load, in cores of speed 1.
     pub mean_load: f64,
-    /// Its own stream, for all that follows.
+    /// The client's own stream, for all later draws.
     pub rng: Pcg32,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Population {
-    /// The clients of a scenario under a seed.
+    /// Creates the population of a scenario and seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let total: f64 = scenario.class.iter().map(|class| class.share).sum();
         let mut sum = 0.0;
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The client of a number. One that `stands` has been there for a while: long lives are met more often, and
-    /// part of each is over.
+    /// Draws the client with a serial number. An established connection is met midway: long ones are more likely, and
+    /// part of their duration is over.
     pub fn draw(&self, serial: u64, is_established: bool) -> ClientDraw {
         let mut rng = stream(self.seed, 1, serial);
         let position: f64 = rng.gen();
@@ -90,7 +90,7 @@
             .position(|share| position < *share)
             .unwrap_or(0);
         if is_established {
-            // A class with long lives has more of those that stand.
+            // A class with long connections has more of the established ones.
             let total: f64 = self
                 .scenario
                 .class
@@ -134,7 +134,7 @@
     }
 }
 
-/// A connection's load from now until its next change, and when that is.
+/// Draws a connection's load until its next change, and the time until then.
 pub fn next_load(class: &Class, mean_load: f64, rng: &mut Pcg32) -> (f64, Option<SimTime>) {
     if class.change_s <= 0.0 {
         return (mean_load, None);
@@ -149,7 +149,7 @@
     (load, Some(until_next))
 }
 
-/// The work of a set-up, in seconds on a core of speed 1.
+/// Draws the work of a setup, in seconds on a core of speed 1.
 pub fn setup_work(class: &Class, rng: &mut Pcg32) -> f64 {
     let (mean, cv) = (class.work_ms / 1e3, class.work_cv);
     if cv <= 0.0 || mean <= 0.0 {
--- a/crates/simulator/src/server_model.rs
+++ b/crates/simulator/src/server_model.rs
@@ -1,7 +1,7 @@
-//! Model of one server, a transcriber: its capacity, its load, the delays of its messages and its set-ups.
+//! Model of one server: its capacity, its load, its message delays and its setups.
 //!
-//! Standing connections are a flow of work: `load` cores of speed 1 are asked for, and what is asked beyond the
-//! capacity piles up. Set-ups are single jobs with slots and a waiting room. The model is the project's own.
+//! Established connections are a flow of work: they demand `load` cores of speed 1, and demand beyond the capacity
+//! adds to a backlog. Setups are single jobs with slots and a bounded queue. The model is specific to this project.
 
 use crate::event_queue::{as_seconds, Incarnation, SimTime};
 use crate::scenario::{Kind, Scenario};
@@ -11,26 +11,26 @@
 /// The state of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It serves.
+    /// It serves its connections and accepts new ones.
     Up,
-    /// It serves what it has, and takes nothing new.
+    /// It serves its connections, and accepts nothing new.
     Draining,
     /// It accepts nothing and answers nothing.
     Unresponsive,
-    /// It is gone.
+    /// It has terminated.
     Down,
 }
 
-/// A set-up that waits for a slot.
+/// A setup that waits for a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct PendingSetup {
+pub struct QueuedSetup {
     /// The request.
     pub request: u64,
-    /// Its attempt.
+    /// The attempt.
     pub attempt: u32,
-    /// Its work, in seconds on a core of speed 1.
+    /// The work, in seconds on a core of speed 1.
     pub work: f64,
-    /// When it came.
+    /// The time of its arrival.
     pub arrived_at: SimTime,
 }
 
@@ -40,33 +40,33 @@
     pub id: ServerId,
     /// Its zone.
     pub zone: u32,
-    /// Its kind, by its place in the scenario.
+    /// The index of its machine kind in the scenario.
     pub kind_index: usize,
-    /// Its size as the list tells it.
+    /// Its capacity as given in the endpoint list.
     pub weight: f64,
-    /// What its process does.
+    /// The state of its process.
     pub state: ServerState,
-    /// Counts its starts.
+    /// The number of its starts.
     pub incarnation: Incarnation,
     /// When it started, if during the run.
     pub started_at: Option<SimTime>,
-    /// It runs slower by this.
+    /// The factor by which it is slowed down.
     pub slowdown: f64,
-    /// Since when it is silent.
+    /// When it became unresponsive.
     pub unresponsive_since: SimTime,
-    /// The clients whose connections stand here.
-    pub connected_clients: Vec<u32>,
-    /// How many of each class.
+    /// The clients with an established connection.
+    pub clients: Vec<u32>,
+    /// Established connections by class.
     pub connections_by_class: Vec<u32>,
-    /// Set-ups in work, and those that wait.
-    pub running_setups: u32,
-    /// Those that wait.
-    pub pending_setups: VecDeque<PendingSetup>,
-    /// The load sent here while it is warming up.
+    /// Setups in progress.
+    pub setups: u32,
+    /// Setups that wait for a slot.
+    pub queued_setups: VecDeque<QueuedSetup>,
+    /// The load sent while it is warming up.
     pub warm_up_load: WarmUpLoad,
-    /// Whether its messages were late when nodes last looked.
+    /// Whether its messages were late when nodes last observed them.
     pub is_late: bool,
-    /// Work asked for and not done, in core seconds of speed 1.
+    /// Work demanded but not done, in core seconds of speed 1.
     pub backlog: f64,
     connection_load: f64,
     groups: BTreeMap<u32, u32>,
@@ -79,33 +79,33 @@
     connection_limit: u32,
 }
 
-/// How the connections of one class were served over an interval.
+/// The service of the connections of one class over an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedInterval {
-    /// The class, by its place in the scenario.
+    /// The index of the class in the scenario.
     pub class: usize,
-    /// Connections that stood.
+    /// Established connections.
     pub connections: f64,
-    /// The share of their messages in time.
+    /// The fraction of their messages answered in time.
     pub in_time_ratio: f64,
-    /// The length of the interval, s.
+    /// The length of the interval, in s.
     pub duration_s: f64,
 }
 
-/// The load sent to a server that is warming up, in loads of usual connections. It drains at the rate that the server
-/// bears.
+/// The load sent to a server that is warming up, in mean connection loads. It drains at the rate that the server has
+/// capacity for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WarmUpLoad {
     /// All of it.
     pub total: f64,
-    /// What was sent by nodes that knew of the start.
+    /// The load sent by nodes that knew of the start.
     pub from_informed_nodes: f64,
     /// When it was last drained.
     pub updated_at: SimTime,
 }
 
 impl ServerModel {
-    /// One that runs, warm unless `started` says otherwise.
+    /// Creates a running server, warm unless `started_at` is set.
     pub fn new(
         scenario: &Scenario,
         id: ServerId,
@@ -132,10 +132,10 @@
             started_at,
             slowdown: 1.0,
             unresponsive_since: 0,
-            connected_clients: Vec::new(),
+            clients: Vec::new(),
             connections_by_class: vec![0; scenario.class.len()],
-            running_setups: 0,
-            pending_setups: VecDeque::new(),
+            setups: 0,
+            queued_setups: VecDeque::new(),
             warm_up_load: WarmUpLoad::default(),
             is_late: false,
             backlog: 0.0,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The share of its capacity that it has by now: it grows evenly from its start.
+    /// Returns the fraction of its capacity that it has so far: it grows linearly from the start.
     pub fn capacity_ratio(&self, now: SimTime) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -161,44 +161,44 @@
         (self.machine_kind.cold_from + (1.0 - self.machine_kind.cold_from) * elapsed_ratio).min(1.0)
     }
 
-    /// Cores of speed 1 that it has when warm and well.
+    /// Returns the capacity of a warm server without a slowdown, in cores of speed 1.
     pub fn warm_capacity(&self) -> f64 {
         f64::from(self.machine_kind.cores) * self.speed
     }
 
-    /// Cores of speed 1 that it has now. Asked for more than it has, it does less of it.
+    /// Returns the current capacity in cores of speed 1. Demand beyond the capacity lowers it.
     pub fn capacity(&self, now: SimTime) -> f64 {
         let base_capacity = self.warm_capacity() / self.slowdown * self.capacity_ratio(now);
         base_capacity
             / (1.0 + self.machine_kind.thrash * (self.load() / base_capacity - 1.0).max(0.0))
     }
 
-    /// Cores of speed 1 that its connections and their groups ask for.
+    /// Returns the cores of speed 1 that its connections and their groups demand.
     pub fn load(&self) -> f64 {
         self.connection_load.max(0.0) + self.groups.len() as f64 * self.group_load
     }
 
-    /// Load over capacity.
+    /// Returns load over capacity.
     pub fn utilization(&self, now: SimTime) -> f64 {
         self.load() / self.capacity(now)
     }
 
-    /// Whether it answers at all.
+    /// Returns true if it answers at all.
     pub fn is_serving(&self) -> bool {
         matches!(self.state, ServerState::Up | ServerState::Draining)
     }
 
-    /// Connections that it accepts.
+    /// Returns the maximum number of connections.
     pub fn connection_limit(&self) -> u32 {
         self.connection_limit
     }
 
-    /// Loads of usual connections that fill it when it is warm.
+    /// Returns the number of mean connection loads that a warm server has capacity for.
     pub fn warm_connection_capacity(&self) -> f64 {
         self.warm_capacity() * self.connections_per_core
     }
 
-    /// Set-ups that it works on at once.
+    /// Returns the maximum number of setups in progress.
     pub fn setup_slots(&self) -> u32 {
         if self.machine_kind.slots == 0 {
             self.machine_kind.cores
@@ -207,12 +207,12 @@
         }
     }
 
-    /// The kind of machine.
+    /// Returns the machine kind.
     pub fn machine_kind(&self) -> &Kind {
         &self.machine_kind
     }
 
-    /// The wait behind what is piled up, and the mean time that a message itself takes, in seconds.
+    /// Returns the wait behind the backlog and the mean service time of a message, in seconds.
     pub fn delay(&self, now: SimTime) -> (f64, f64) {
         let capacity = self.capacity(now);
         let service_time = self.message_s * self.slowdown / self.speed / self.capacity_ratio(now);
@@ -222,7 +222,7 @@
         )
     }
 
-    /// The share of messages answered within an aim.
+    /// Returns the fraction of messages answered within an objective.
     fn in_time_ratio(&self, now: SimTime, objective: f64) -> f64 {
         let (wait, mean_service_time) = self.delay(now);
         if !self.is_serving() || objective <= wait {
@@ -231,8 +231,8 @@
         1.0 - (-(objective - wait) / mean_service_time.max(1e-9)).exp()
     }
 
-    /// Advances the model to now and reports how each class was served. Called before anything changes; costs the
-    /// number of classes.
+    /// Advances the model to `now` and reports how each class was served. It must be called before every change, and
+    /// its cost is proportional to the number of classes.
     pub fn advance(
         &mut self,
         now: SimTime,
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Adds a connection and returns its place. The model must have been advanced to now.
+    /// Adds a connection and returns its index. The model must have been advanced to the current time.
     pub fn add_connection(
         &mut self,
         client: u32,
@@ -279,16 +279,16 @@
         load: f64,
         group: Option<u32>,
     ) -> u32 {
-        self.connected_clients.push(client);
+        self.clients.push(client);
         self.connections_by_class[class] += 1;
         self.connection_load += load;
         if let Some(group) = group {
             *self.groups.entry(group).or_default() += 1;
         }
-        self.connected_clients.len() as u32 - 1
+        self.clients.len() as u32 - 1
     }
 
-    /// Removes the connection of a place; returns the client that moved into the place, if one did.
+    /// Removes the connection at an index; returns the client that moved to the index, if any.
     pub fn remove_connection(
         &mut self,
         index: u32,
@@ -296,9 +296,9 @@
         load: f64,
         group: Option<u32>,
     ) -> Option<u32> {
-        self.connected_clients.swap_remove(index as usize);
+        self.clients.swap_remove(index as usize);
         self.connections_by_class[class] -= 1;
-        self.connection_load = if self.connected_clients.is_empty() {
+        self.connection_load = if self.clients.is_empty() {
             0.0
         } else {
             self.connection_load - load
@@ -313,24 +313,24 @@
                 self.groups.remove(&group);
             }
         }
-        self.connected_clients.get(index as usize).copied()
+        self.clients.get(index as usize).copied()
     }
 
-    /// A connection's load changes by so much.
+    /// Changes the load of a connection.
     pub fn change_load(&mut self, delta: f64) {
         self.connection_load += delta;
     }
 
-    /// How long a set-up of this work takes from now, its wait behind piled-up work included.
+    /// Returns the duration of a setup that starts now, including its wait behind the backlog.
     pub fn setup_duration_s(&self, now: SimTime, work: f64) -> f64 {
         let core_speed = self.speed / self.slowdown * self.capacity_ratio(now);
         let spare_ratio = (1.0 - self.utilization(now)).max(0.1);
         work / (core_speed * spare_ratio) + self.backlog / self.capacity(now)
     }
 
-    /// Counts what is sent to a cold one; true when that pushes it over. `multiple` of what it can do, for `span`
-    /// seconds, is what it bears: a bucket that drains at that rate and holds as much as comes in that span. What a
-    /// cold one can do in new connections is what would fill it over its warm-up.
+    /// Counts load sent to a server that is warming up; returns true if it overloads the server. The server can accept
+    /// `factor` times its capacity for `window_s` seconds: a bucket drains at that rate and holds as much as arrives
+    /// in that time. Its capacity for new connections is the load that would fill it over the warm-up.
     pub fn add_warm_up_load(
         &mut self,
         now: SimTime,
@@ -354,20 +354,20 @@
         self.warm_up_load.from_informed_nodes *= remaining_ratio;
         self.warm_up_load.from_informed_nodes += if is_informed { load } else { 0.0 };
         self.warm_up_load.updated_at = now;
-        // A little slack for chance: two usual connections.
+        // Two mean connections of slack for randomness.
         self.warm_up_load.total > rate * window_s + 2.0
     }
 
-    /// The process starts anew under the same id: empty and cold.
+    /// Restarts the process under the same id, without connections and warming up.
     pub fn restart(&mut self, now: SimTime) {
         self.started_at = Some(now);
         self.advanced_at = now;
         self.state = ServerState::Up;
         self.incarnation += 1;
-        self.running_setups = 0;
+        self.setups = 0;
         self.backlog = 0.0;
         self.connection_load = 0.0;
-        self.pending_setups.clear();
+        self.queued_setups.clear();
         self.warm_up_load = WarmUpLoad {
             total: 0.0,
             from_informed_nodes: 0.0,
--- a/crates/simulator/src/world/attempts.rs
+++ b/crates/simulator/src/world/attempts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl World<'_> {
-    /// Starts an attempt, after the checker has looked at it.
+    /// Checks an attempt against the rules and starts it.
     pub(super) fn check_and_start_attempt(
         &mut self,
         node: u32,
@@ -40,7 +40,7 @@
         self.start_attempt(node, client, server, timeout);
     }
 
-    /// Whether one more attempt for this client's request breaks the rule on attempts, which is recorded.
+    /// Returns true if one more attempt breaks the attempt rule for this client's request, and records the violation.
     pub(super) fn breaks_attempt_rule(&mut self, client: u32, request: u64) -> bool {
         let state = &self.clients[client as usize];
         let what = if state.server.is_some() {
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Records an attempt to a transcriber of which the node was told longer than the grace ago that it leaves.
+    /// Records a violation if the node was notified more than the drain grace ago that the server is leaving.
     pub(super) fn check_drain_rule(&mut self, node: u32, request: u64, server: u32) {
         let now = self.now;
         let grace = millis(self.scenario.rules.drain_grace_ms);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Puts an attempt on its way: it arrives after the handshake, and times out unless it ends before.
+    /// Starts an attempt: it arrives after the handshake, and times out unless it ends before.
     pub(super) fn start_attempt(&mut self, node: u32, client: u32, server: u32, timeout: Duration) {
         let now = self.now;
         let (node_zone, server_zone) = (
@@ -112,7 +112,7 @@
         );
     }
 
-    /// The attempt that is out, if it is this one and its connection does not stand yet.
+    /// Returns the client of an attempt that is still running, with its connection not yet established.
     pub(super) fn client_awaiting_attempt(&self, request: u64, attempt: u32) -> Option<u32> {
         let client = self.client_of(request)?;
         let state = &self.clients[client as usize];
@@ -157,14 +157,14 @@
         });
     }
 
-    /// A node hears that the connection stands.
+    /// Notifies a node that a connection is established.
     pub(super) fn connection_established(&mut self, request: u64, attempt: u32) {
         let Some(client) = self.client_awaiting_attempt(request, attempt) else {
             return;
         };
         let state = &mut self.clients[client as usize];
         if state.connection_index == NOT_CONNECTED {
-            return; // its transcriber is gone again
+            return; // its server terminated meanwhile
         }
         state.phase = Phase::Connected;
         state.answered = true;
@@ -183,14 +183,14 @@
                 setup_duration: Duration::from_nanos(setup_duration),
             },
         );
-        // What the decisions wanted may have ended it again.
+        // An action of the policy may already have ended the connection.
         if self.client_of(request).is_some() {
             self.start_load_changes(client);
             self.report_long_setup(node, request_id, setup_duration);
         }
     }
 
-    /// A standing connection ends; the transcriber and the decisions hear of it.
+    /// Ends an established connection and notifies its server and its node.
     pub(super) fn end_connection(&mut self, client: u32, outcome: Outcome) {
         let state = &self.clients[client as usize];
         let ended = EndedAttempt {
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they arrive, ask through the front, hear an answer, come again, and leave.
+//! Clients: they arrive, send requests through the front load balancer, receive answers, reconnect, and leave.
 
 use super::{Client, Phase, World, NOT_CONNECTED};
 use crate::event_queue::{millis, seconds, Incarnation, SimTime, SimulationEvent};
@@ -7,11 +7,11 @@
 use rand::Rng;
 use rand_distr::Exp1;
 
-/// The longest that repeated failures stretch a client's wait, as a power of two.
+/// The limit of the back-off after repeated failures, as a power of two.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 impl World<'_> {
-    /// How many times the usual rate clients arrive now, by the scenario's shape and by surges.
+    /// Returns the current arrival rate as a multiple of the usual rate, by the scenario's shape and surges.
     fn arrival_factor(&self) -> f64 {
         let now = crate::event_queue::as_seconds(self.now);
         let shape = &self.scenario.clients.shape;
@@ -30,8 +30,8 @@
         shaped * self.arrival_factors.iter().product::<f64>()
     }
 
-    /// Arrivals are thinned from the highest pace that the scenario can reach, so that they do not depend on what
-    /// policies do.
+    /// Returns the highest arrival factor that the scenario can reach. Arrivals are drawn at that rate and thinned to
+    /// the current one, so that they do not depend on what policies do.
     fn max_arrival_factor(&self) -> f64 {
         let shaped = self
             .scenario
@@ -129,7 +129,7 @@
         index
     }
 
-    /// The connections that stand when the world begins.
+    /// Adds the connections that are established at the start of the run.
     pub(super) fn establish_initial_connections(&mut self) {
         let count = self
             .scenario
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The key that a client's request names, and its group's.
+    /// Returns the key of a client's requests and the key of its group.
     pub(super) fn keys(&self, index: u32) -> (String, Option<String>) {
         let client = &self.clients[index as usize];
         (
@@ -161,13 +161,14 @@
         )
     }
 
-    /// The next number for a request of this client.
+    /// Returns the next request number for this client.
     pub(super) fn next_request_number(&mut self, index: u32) -> u64 {
         self.requests += 1;
         (self.requests << 24) | u64::from(index)
     }
 
-    /// The node that the front gives a client: one of its zone, else any that it takes for alive.
+    /// Selects the node that the front load balancer assigns to a client: one of its zone, or any if the front lists
+    /// none there.
     pub(super) fn select_node(&mut self, index: u32) -> Option<u32> {
         let zone = self.clients[index as usize].zone;
         let count = |in_zone_only: bool| {
@@ -192,7 +193,7 @@
         candidates.nth(chosen).map(|(node, _)| node as u32)
     }
 
-    /// A client opens a connection: its first try, a retry, or after a break or a move.
+    /// Opens a client's connection: its first request, a retry, or a reconnect after a break or a migration.
     pub(super) fn connect_client(&mut self, index: u32, incarnation: Incarnation) {
         let client = &self.clients[index as usize];
         if client.incarnation != incarnation
@@ -225,7 +226,7 @@
             self.queue
                 .schedule(self.now + delay, SimulationEvent::RequestReceived(request));
         } else {
-            // The process is dead, and the front has not noticed: the connection is refused.
+            // The node's process has terminated but the front still lists it: the connection is refused.
             self.clients[index as usize].answered = true;
             self.queue.schedule(
                 self.now + delay * 2,
@@ -234,7 +235,7 @@
         }
     }
 
-    /// A client hears that its try came to nothing.
+    /// Handles the answer to a request that got no connection.
     pub(super) fn receive_answer(
         &mut self,
         index: u32,
@@ -250,7 +251,8 @@
         }
     }
 
-    /// The try came to nothing: again within the deadline if the client retries, later if it comes back, else never.
+    /// Handles a failed request: the client retries within the deadline if it has retries left, reconnects later if
+    /// `comes_back` is set, or leaves.
     fn request_failed(&mut self, index: u32, retry_after_ms: u32) {
         let settings = &self.scenario.clients;
         let client = &mut self.clients[index as usize];
@@ -291,7 +293,7 @@
         }
     }
 
-    /// A standing connection ended without the client's wish. It comes again after a break, or a move.
+    /// Handles a connection that ended before the client left: it reconnects after a break or a migration.
     pub(super) fn connection_lost(&mut self, index: u32, is_migrated: bool) {
         let settings = &self.scenario.clients;
         let client = &mut self.clients[index as usize];
@@ -315,7 +317,7 @@
         );
     }
 
-    /// A client is done. What it has open ends.
+    /// Removes a client that leaves, and ends its request or connection.
     pub(super) fn remove_client(&mut self, index: u32, incarnation: Incarnation) {
         let client = &self.clients[index as usize];
         if client.incarnation != incarnation {
@@ -333,7 +335,7 @@
         self.free_client_slots.push(index);
     }
 
-    /// A standing connection's load changes.
+    /// Changes the load of an established connection.
     pub(super) fn change_load(&mut self, index: u32, incarnation: Incarnation) {
         let client = &self.clients[index as usize];
         if client.connection_incarnation != incarnation || client.phase != Phase::Connected {
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one service that handles calls one after another, late, and sometimes not at all.
+//! Discovery: one service that handles calls one after another, with a delay, and may be stale or down.
 
 use super::World;
 use crate::event_queue::{millis, seconds, Incarnation, ServerChange, SimulationEvent, SECOND};
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 impl World<'_> {
-    /// What a node starts with: the list as it is known, perhaps an old one.
+    /// Delivers the endpoint list that a node starts with, as discovery has it, possibly stale.
     pub(super) fn deliver_cached_endpoints(&mut self, node: u32) {
         self.nodes[node as usize].notified_changes = self.discovery.change_log.len();
         let entries: Vec<_> = self
@@ -28,7 +28,8 @@
         );
     }
 
-    /// Records that a node knows of an endpoint: from here on the rules on drains and slow starts bind it.
+    /// Records that a node was notified of an endpoint: from then on the checker's rules on draining and slow start
+    /// apply to it.
     fn record_notification(&mut self, node: u32, entry: &lupincrank_placement::Endpoint) {
         let Some(server) = self.server_indices.get(&entry.server).copied() else {
             return;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// A node asks for changes from now on.
+    /// Handles a node's call for endpoint changes.
     pub(super) fn watch_endpoints(&mut self, node: u32) {
         let incarnation = self.nodes[node as usize].incarnation;
         let timeout = seconds(self.scenario.discovery.timeout_s);
@@ -77,7 +78,7 @@
         );
     }
 
-    /// A call ends.
+    /// Ends a node's call to discovery.
     pub(super) fn watch_call_ended(&mut self, node: u32, incarnation: Incarnation, answered: bool) {
         let state = &self.nodes[node as usize];
         if !state.is_running || state.incarnation != incarnation {
@@ -90,7 +91,7 @@
         self.notify_node(node, incarnation);
     }
 
-    /// Notifies a node of what changed since its last notification.
+    /// Notifies a node of the changes since its last notification.
     pub(super) fn notify_node(&mut self, node: u32, incarnation: Incarnation) {
         let state = &self.nodes[node as usize];
         if !state.is_running
@@ -108,7 +109,7 @@
         self.deliver_event(node, Event::EndpointChange(entries));
     }
 
-    /// Discovery learns of a change, and notifies the nodes that watch.
+    /// Applies a change to the endpoint list and notifies the nodes that watch it.
     pub(super) fn update_discovery(
         &mut self,
         server: u32,
@@ -126,7 +127,7 @@
             ServerChange::Draining => Health::Draining,
             ServerChange::Removed => Health::Removed,
         };
-        // A change that a later start has overtaken is dropped.
+        // A change is dropped if the server has started again since.
         let current = self.fleet[server as usize].incarnation;
         if change != ServerChange::Removed && current != incarnation {
             return;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Discovery goes down: watches end, and calls fail until it is back.
+    /// Sets discovery down: watches end, and calls fail until it is up again.
     pub(super) fn set_discovery_down(&mut self, down: bool) {
         self.discovery.down = down;
         for node in 0..self.nodes.len() as u32 {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Discovery stops learning of changes, or learns of all that it missed.
+    /// Sets discovery stale: changes are deferred until it recovers.
     pub(super) fn set_discovery_stale(&mut self, stale: bool) {
         self.discovery.stale = stale;
         let missed = std::mem::take(&mut self.discovery.deferred_changes);
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: their steps and their ends. Faults may overlap; each affects machines drawn from the seed.
+//! Faults, their steps and their ends. Faults may overlap; each affects servers or nodes drawn from the seed.
 
 use super::{Phase, World};
 use crate::event_queue::{as_seconds, seconds, ServerChange, SimTime, SimulationEvent};
@@ -11,8 +11,8 @@
 use rand_distr::Exp1;
 
 impl World<'_> {
-    /// The transcribers that a fault strikes: a share of those that ran at the start of the world, in an order drawn
-    /// from the seed, so that every policy meets the same ones.
+    /// Returns the servers that a fault affects: a fraction of the initial fleet, in an order drawn from the seed, so
+    /// that the same servers are affected under every policy.
     fn affected_servers(&self, fault: u32, ratio: f64) -> Vec<u32> {
         let mut all: Vec<u32> = (0..self.scenario.fleet.transcribers).collect();
         all.shuffle(&mut stream(self.seed, 7, u64::from(fault)));
@@ -20,7 +20,7 @@
         all
     }
 
-    /// A fault begins, or takes its next step.
+    /// Starts a fault, or its next step.
     pub(super) fn start_fault_step(&mut self, number: u32, step: u32) {
         let fault = self.scenario.faults[number as usize].clone();
         let ends_at = self.now + seconds(fault.for_s);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Machines stop to answer; discovery and the nodes notice later.
+    /// Makes servers unresponsive; discovery and the nodes detect it later.
     fn begin_unresponsive(&mut self, number: u32, fault: &Fault) {
         let delay = seconds(self.scenario.discovery.silent_notice_s);
         for index in self.affected_servers(number, fault.part) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The processes of a zone end in the same moment.
+    /// Terminates the processes of a zone at the same time.
     fn begin_zone_lost(&mut self, number: u32, fault: &Fault) {
         let terminated = self.affected_in_zone(number, fault.part);
         for index in &terminated {
@@ -83,7 +83,7 @@
         self.terminated_servers.insert(number, terminated);
     }
 
-    /// Transcribers run slower by the size.
+    /// Slows servers down by the fault's size.
     fn begin_slow(&mut self, number: u32, fault: &Fault) {
         for index in self.affected_servers(number, fault.part) {
             self.advance(index);
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Replaces the next batch; the batches are spread evenly over the length, the last one starts before its end.
+    /// Replaces the next batch. The batches are spread evenly over the fault's duration, and the last one starts
+    /// before its end.
     fn continue_deploy(&mut self, number: u32, step: u32, fault: &Fault) {
         let all = self.affected_servers(number, fault.part);
         let batch =
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Drains one more transcriber and lowers the arrivals likewise.
+    /// Drains one more server and lowers the arrival rate accordingly.
     fn continue_shrink(&mut self, number: u32, step: u32, fault: &Fault) {
         let all = self.affected_servers(number, 1.0 - 1.0 / fault.size);
         let (done, steps) = (step as usize, all.len());
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Nodes die until the end of the fault.
+    /// Terminates nodes until the end of the fault.
     fn begin_node_down(&mut self, number: u32, fault: &Fault, ends_at: SimTime) {
         for node in self.affected_nodes(number, fault.part) {
             if self.nodes[node as usize].is_running {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Traffic falls: this share of the clients leaves, evenly over a span.
+    /// Makes a fraction of the clients leave, spread evenly over a duration, as traffic drops.
     fn schedule_departures(&mut self, ratio: f64, duration: SimTime) {
         for index in 0..self.clients.len() as u32 {
             let is_leaving = self.rng.gen::<f64>() < ratio;
@@ -178,7 +179,7 @@
         all
     }
 
-    /// The successor of a transcriber that a deploy replaced: a new machine, cold.
+    /// Adds the successor of a server that a deployment replaced: a new machine, warming up.
     pub(super) fn replace_server(&mut self, replaced: u32) {
         let (zone, kind_index) = (
             self.fleet[replaced as usize].zone,
@@ -193,7 +194,8 @@
         );
     }
 
-    /// Those that run in the zone that a fault strikes, or a share of them, drawn from the seed.
+    /// Returns the running servers of the affected zone, or a fraction of them; zone and servers are drawn from the
+    /// seed.
     fn affected_in_zone(&self, fault: u32, ratio: f64) -> Vec<u32> {
         let mut rng = stream(self.seed, 10, u64::from(fault));
         let zone = rng.gen_range(0..self.scenario.net.zones);
@@ -207,7 +209,7 @@
         all
     }
 
-    /// A transcriber that was down starts again, cold.
+    /// Restarts a terminated server, which then warms up.
     fn restart_server(&mut self, index: u32) {
         let now = self.now;
         self.fleet[index as usize].restart(now);
@@ -220,7 +222,7 @@
         );
     }
 
-    /// A fault is over.
+    /// Ends a fault.
     pub(super) fn end_fault(&mut self, number: u32) {
         let fault = self.scenario.faults[number as usize].clone();
         match fault.kind {
@@ -247,24 +249,20 @@
             FaultKind::DiscoveryDown => self.set_discovery_down(false),
             FaultKind::DiscoveryStale => self.set_discovery_stale(false),
             FaultKind::Surge => self.arrival_factors[number as usize] = 1.0,
-            // A shrunk fleet stays small; the others end by themselves.
+            // A shrunk fleet stays small; the other faults end without an action here.
             FaultKind::Shrink | FaultKind::Deploy | FaultKind::NodeDown | FaultKind::Reset => {}
         }
     }
 
-    /// A single standing connection breaks, by the network's doing.
+    /// Breaks one established connection, as if the network had reset it.
     fn reset_one_connection(&mut self) {
-        let connections: usize = self
-            .fleet
-            .iter()
-            .map(|server| server.connected_clients.len())
-            .sum();
+        let connections: usize = self.fleet.iter().map(|server| server.clients.len()).sum();
         if connections == 0 {
             return;
         }
         let mut index = self.rng.gen_range(0..connections);
         for server in &self.fleet {
-            if let Some(client) = server.connected_clients.get(index).copied() {
+            if let Some(client) = server.clients.get(index).copied() {
                 if self.clients[client as usize].phase == Phase::Connected {
                     self.metrics.broken_connections += 1;
                     self.end_connection(client, Outcome::Reset);
@@ -272,7 +270,7 @@
                 }
                 return;
             }
-            index -= server.connected_clients.len();
+            index -= server.clients.len();
         }
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! The simulated world: it handles events in the order of time and runs one policy for each node.
+//! The simulated world: it handles events in time order and runs one policy instance per node.
 //!
-//! Its parts: `clients`, `nodes` (the policies and what a node observes), `servers` (transcribers), `discovery` and
-//! `faults`.
+//! Its modules: `clients`, `nodes` (the policies), `observations` (load, delays and unresponsiveness that nodes see),
+//! `attempts`, `servers`, `discovery` and `faults`.
 
 mod attempts;
 mod clients;
@@ -23,33 +23,33 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Makes the policy of a node from its settings and seed.
+/// Creates the policy of a node from its settings and seed.
 pub type PolicyFactory<'a> = dyn Fn(Settings, u64) -> Box<dyn Policy> + 'a;
 
-/// Fleets up to this size have the load of each transcriber in the time line.
+/// The timeline contains the utilization of each server for fleets up to this size.
 const MAX_SERVERS_IN_TIMELINE: usize = 64;
-/// How often the model of every server is advanced at least.
+/// The longest interval between updates of a server's model.
 const SERVER_UPKEEP_INTERVAL: SimTime = SECOND / 2;
-/// No place at a transcriber.
+/// The `connection_index` of a client without a connection at a server.
 const NOT_CONNECTED: u32 = u32::MAX;
-/// What the decisions' clock shows when the world begins: not zero, which they take for long ago.
+/// The time of the placement clock at the start of the run. It is not zero, since placement treats zero as long ago.
 const CLOCK_START: SimTime = 1_000 * SECOND;
 
-/// What a client is doing.
+/// The state of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It has no connection and will come again.
+    /// It has no connection and will reconnect.
     Disconnected,
-    /// Its request is with a node.
+    /// A node handles its request.
     Requesting,
-    /// Its connection stands.
+    /// Its connection is established.
     Connected,
 }
 
-/// A client: its wish for one connection, and the request that it has out.
+/// A client, which wants one connection, and its current request.
 struct Client {
     incarnation: Incarnation,
-    /// Counts the times that this place had a connection up: what was scheduled for an earlier one is void.
+    /// The number of connections established in this client slot. Events scheduled for an earlier one are ignored.
     connection_incarnation: Incarnation,
     serial: u64,
     class: usize,
@@ -63,22 +63,23 @@
     failures: u32,
     retries: u32,
     is_reconnect: bool,
-    /// When its first try of this round runs out.
+    /// The deadline of the current request and its retries.
     deadline: SimTime,
     request: u64,
     node: u32,
     node_incarnation: Incarnation,
     requested_at: SimTime,
-    /// Attempts of this request, the one that is out and when it was sent, and whether the answer was given.
+    /// Attempts of this request, the server of the running attempt or connection, the start of that attempt, and
+    /// whether the final answer was sent.
     attempts: u32,
     server: Option<u32>,
     sent_at: SimTime,
     answered: bool,
-    /// Where its connection stands at the transcriber, `NO_PLACE` while it does not.
+    /// The index of its connection at the server, or `NOT_CONNECTED`.
     connection_index: u32,
 }
 
-/// One balancer node.
+/// A balancer node.
 struct Node {
     zone: u32,
     incarnation: Incarnation,
@@ -86,17 +87,17 @@
     listed_by_front: bool,
     policy: Box<dyn Policy>,
     is_watching: bool,
-    /// How many of discovery's changes it has been notified of.
+    /// The number of entries of discovery's change log that it has received.
     notified_changes: usize,
-    /// Since when it knows that a transcriber leaves.
+    /// By server: when it was notified that the server is leaving.
     leaving_since: Vec<Option<SimTime>>,
-    /// Starts of servers that it was notified of.
+    /// By server: the latest incarnation of whose start it was notified.
     known_starts: Vec<Incarnation>,
-    /// How long its latest set-ups took.
+    /// The durations of its latest setups.
     recent_setups: VecDeque<SimTime>,
 }
 
-/// Discovery.
+/// The state of discovery.
 struct DiscoveryState {
     endpoints: Vec<Endpoint>,
     change_log: Vec<Endpoint>,
@@ -106,7 +107,7 @@
     deferred_changes: Vec<(u32, Incarnation, crate::event_queue::ServerChange)>,
 }
 
-/// A scenario being played.
+/// The state of a run.
 pub struct World<'a> {
     scenario: Scenario,
     settings: Settings,
@@ -127,19 +128,19 @@
     free_client_slots: Vec<u32>,
     fleet: Vec<ServerModel>,
     server_indices: HashMap<ServerId, u32>,
-    /// The transcribers' hashes, as placement ranks them.
+    /// The servers' hashes, as used by placement for ranking.
     server_hashes: Vec<u32>,
     nodes: Vec<Node>,
     discovery: DiscoveryState,
     arrival_factors: Vec<f64>,
-    /// The transcribers that a fault took down, until they come back.
+    /// The servers that a zone outage terminated, by fault, until they restart.
     terminated_servers: std::collections::BTreeMap<u32, Vec<u32>>,
     checker: RuleChecker,
     metrics: RunMetrics,
     actions: Vec<Action>,
 }
 
-/// Plays a scenario with one of the policies by name.
+/// Runs a scenario with one of the policies by name.
 pub fn run_scenario(scenario: &Scenario, seed: u64, name: PolicyName) -> Outcome {
     let create_policy = move |settings: Settings, seed: u64| name.make(settings, seed);
     run_with_policy(
@@ -151,7 +152,7 @@
     )
 }
 
-/// Plays a scenario with any policy. The same scenario, seed and policy always give the same outcome.
+/// Runs a scenario with any policy. The same scenario, seed and policy always give the same outcome.
 pub fn run_with_policy(
     scenario: &Scenario,
     seed: u64,
@@ -182,7 +183,7 @@
     world.metrics.finish(scenario, summary)
 }
 
-/// What a scenario tells its nodes.
+/// Returns the settings of a scenario's nodes.
 pub fn settings(scenario: &Scenario) -> Settings {
     let duration = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1e3);
     let class = |class: &crate::scenario::Class| Class {
@@ -319,12 +320,13 @@
                 self.update_front(node, incarnation, is_listed);
             }
             Event::UnresponsiveDetected(server, incarnation) => {
-                self.detect_unresponsive_server(server, incarnation)
+                self.detect_unresponsive_server(server, incarnation);
             }
         }
     }
 
-    /// The client that has a request out, if it still has. The low bits of a request's number are its client's place.
+    /// Returns the client of a request, if the request is its current one. The low bits of a request's number are the
+    /// client's index.
     fn client_of(&self, request: u64) -> Option<u32> {
         let index = (request & 0xff_ffff) as u32;
         self.clients
@@ -333,7 +335,7 @@
             .map(|_| index)
     }
 
-    /// A delay between a node and a transcriber.
+    /// Draws a delay between a node and a server.
     fn network_delay(&mut self, node_zone: u32, server_zone: u32) -> SimTime {
         let net = &self.scenario.net;
         let mean = if node_zone == server_zone {
@@ -375,7 +377,7 @@
         let connections = self
             .fleet
             .iter()
-            .map(|server| server.connected_clients.len() as u64)
+            .map(|server| server.clients.len() as u64)
             .sum();
         let keeps_servers = self.fleet.len() <= MAX_SERVERS_IN_TIMELINE;
         self.metrics
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: they hand events to the decisions, carry actions out, and tell what they observe.
+//! Nodes: they pass events to their policies and execute the resulting actions.
 
 use super::{Client, Node, Phase, World, CLOCK_START};
 use crate::checker::{Rule, TraceSubject};
@@ -8,14 +8,14 @@
 use lupincrank_placement::{Action, Event, Outcome, RequestId, RequestInfo, Timer, Timestamp};
 use std::collections::VecDeque;
 
-/// An attempt that ended, as its node hears of it.
+/// An attempt that ended, as reported to its node.
 #[derive(Clone, Copy)]
 pub(super) struct EndedAttempt {
     pub(super) node: u32,
     pub(super) request: u64,
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
-    /// The request is over as well, whatever attempts it has left.
+    /// True if the request is over too, whatever attempts it has left.
     pub(super) is_request_over: bool,
 }
 
@@ -45,7 +45,7 @@
         (self.policy_factory)(self.settings.clone(), seed)
     }
 
-    /// A node's process starts: from nothing but the list as discovery has it.
+    /// Starts a node's process, with nothing but discovery's endpoint list.
     pub(super) fn start_node(&mut self, index: u32) {
         let incarnation = self.nodes[index as usize].incarnation + 1;
         let policy = self.new_policy(index, incarnation);
@@ -67,7 +67,7 @@
         );
     }
 
-    /// A node's process dies, and with it all that goes through it.
+    /// Terminates a node's process, which ends its requests and connections.
     pub(super) fn kill_node(&mut self, index: u32) {
         let node = &mut self.nodes[index as usize];
         node.is_running = false;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Hands an event to a node's decisions and carries out what they want.
+    /// Passes an event to a node's policy and executes the resulting actions.
     pub(super) fn deliver_event(&mut self, index: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let fleet_state = FleetState {
@@ -130,13 +130,13 @@
         self.actions = actions;
     }
 
-    /// Whether the process that the client's request came to still runs.
+    /// Returns true if the process that received the client's request is still running.
     pub(super) fn is_node_running_for(&self, client: &Client) -> bool {
         let node = &self.nodes[client.node as usize];
         node.is_running && node.incarnation == client.node_incarnation
     }
 
-    /// Tells a node's decisions that an attempt ended.
+    /// Notifies a node's policy that an attempt ended.
     pub(super) fn deliver_attempt_end(&mut self, ended: EndedAttempt) {
         let event = Event::AttemptEnded {
             request: RequestId(ended.request),
@@ -177,21 +177,18 @@
                     }
                 }
             }
-            Action::SetTimer {
-                after: delay,
-                timer,
-            } => {
+            Action::SetTimer { after, timer } => {
                 let incarnation = self.nodes[node as usize].incarnation;
-                let delay = u64::try_from(delay.as_nanos())
+                let after = u64::try_from(after.as_nanos())
                     .unwrap_or(u64::MAX)
                     .min(3600 * SECOND);
                 self.queue.schedule(
-                    self.now + delay.max(1),
+                    self.now + after.max(1),
                     SimulationEvent::NodeTimer(node, incarnation, timer),
                 );
             }
             Action::WatchEndpoints => self.watch_endpoints(node),
-            // Settings forbid both.
+            // The settings disable both.
             Action::CheckHealth(_) | Action::Gossip(_) => {}
         }
     }
@@ -219,7 +216,7 @@
         }
     }
 
-    /// A node takes a request.
+    /// Delivers a request to its node.
     pub(super) fn receive_request(&mut self, request: u64) {
         let Some(client) = self.client_of(request) else {
             return;
@@ -228,7 +225,7 @@
         let node = state.node;
         let deadline = state.deadline;
         if !self.is_node_running_for(state) {
-            // It died while the request was on its way.
+            // The process terminated while the request was in transit.
             self.clients[client as usize].answered = true;
             return self.queue.schedule(
                 self.now + millis(1.0),
@@ -245,9 +242,9 @@
         self.deliver_event(node, Event::RequestReceived(incoming));
     }
 
-    /// A connection that stands when the world begins.
+    /// Adds a connection that is established at the start of the run.
     pub(super) fn inherit_connection(&mut self, client: u32, node: u32, server: u32) {
-        if self.fleet[server as usize].connected_clients.len() as u32
+        if self.fleet[server as usize].clients.len() as u32
             >= self.fleet[server as usize].connection_limit()
         {
             let incarnation = self.clients[client as usize].incarnation;
@@ -273,7 +270,7 @@
         self.start_load_changes(client);
     }
 
-    /// From here on a connection's load is told and changes.
+    /// Reports a new connection's load and starts its changes.
     pub(super) fn start_load_changes(&mut self, client: u32) {
         let state = &mut self.clients[client as usize];
         state.connection_incarnation += 1;
@@ -291,7 +288,7 @@
         self.schedule_load_change(client, until_next);
     }
 
-    /// The final answer to a request that did not come to stand.
+    /// Sends the final answer to a request that got no connection.
     pub(super) fn send_final_answer(
         &mut self,
         node: u32,
@@ -367,7 +364,7 @@
         );
     }
 
-    /// Nobody waits for the request any more.
+    /// Ends a request that its client has given up.
     pub(super) fn client_disconnected(&mut self, client: u32) {
         let state = &self.clients[client as usize];
         let node = state.node;
--- a/crates/simulator/src/world/observations.rs
+++ b/crates/simulator/src/world/observations.rs
@@ -1,4 +1,4 @@
-//! What a node observes of its connections: loads, long set-ups, message delays, silence.
+//! What a node observes of its connections: load, long setups, message delays and unresponsive servers.
 
 use super::{Phase, World};
 use crate::event_queue::{Incarnation, SimTime, SimulationEvent, SECOND};
@@ -7,7 +7,7 @@
 use lupincrank_placement::{Event, RequestId};
 use std::time::Duration;
 
-/// Set-ups that a node remembers to tell a long one from the usual, and the multiple that is long.
+/// The number of recent setups that a node compares a setup with, and the multiple of their median that is long.
 const REMEMBERED_SETUPS: usize = 63;
 const MIN_REMEMBERED_SETUPS: usize = 8;
 const LONG_SETUP_FACTOR: u64 = 3;
@@ -23,9 +23,9 @@
         self.deliver_event(node, Event::LoadObserved { request, load });
     }
 
-    /// Lines are returned at once however crowded a transcriber is, but a set-up waits its turn there: one that
-    /// takes over three times the median of the latest ones is told as a delay by what is over the median, as real
-    /// nodes do.
+    /// Reports a long setup as a delay, as real nodes do. Servers return lines at once even under overload, but a
+    /// setup waits for a slot: one that takes over three times the median of the latest setups is reported as a delay
+    /// of the excess over the median.
     pub(super) fn report_long_setup(&mut self, node: u32, request: RequestId, duration: SimTime) {
         let recent = &mut self.nodes[node as usize].recent_setups;
         let mut durations: Vec<SimTime> = recent.iter().copied().collect();
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Once a second nodes tell how long messages take, of one connection for each transcriber that is late, and
-    /// once more when it no longer is.
+    /// Reports message delays once a second: for each server with late messages, on one connection per node, and once
+    /// more when its messages are no longer late.
     pub(super) fn report_message_delays(&mut self) {
         if self.scenario.nodes.delays != Delays::All {
             return;
@@ -78,11 +78,11 @@
         }
     }
 
-    /// One connection of each node that has any on this transcriber.
+    /// Returns one connection of each node that has any at this server.
     pub(super) fn one_connection_per_node(&self, server: u32) -> Vec<(u32, RequestId)> {
         let mut has_connection = vec![false; self.nodes.len()];
         let mut found = Vec::new();
-        for client in &self.fleet[server as usize].connected_clients {
+        for client in &self.fleet[server as usize].clients {
             let state = &self.clients[*client as usize];
             if state.phase == Phase::Connected
                 && !std::mem::replace(&mut has_connection[state.node as usize], true)
@@ -96,7 +96,8 @@
         found
     }
 
-    /// Nodes notice that a transcriber answers nobody: each tells so, and of every connection that it still has there.
+    /// Reports an unresponsive server: each node with several connections reports the server, and each remaining
+    /// connection is reported as well.
     pub(super) fn detect_unresponsive_server(&mut self, server: u32, incarnation: Incarnation) {
         let model = &self.fleet[server as usize];
         if model.state != ServerState::Unresponsive || model.incarnation != incarnation {
@@ -104,7 +105,7 @@
         }
         let id = model.id.clone();
         for (node, _) in self.one_connection_per_node(server) {
-            let clients = self.fleet[server as usize].connected_clients.iter();
+            let clients = self.fleet[server as usize].clients.iter();
             let count = clients
                 .filter(|client| self.clients[**client as usize].node == node)
                 .count();
@@ -112,7 +113,7 @@
                 self.deliver_event(node, Event::ServerUnresponsive(id.clone()));
             }
         }
-        let remaining: Vec<u32> = self.fleet[server as usize].connected_clients.clone();
+        let remaining: Vec<u32> = self.fleet[server as usize].clients.clone();
         for client in remaining {
             let state = &self.clients[client as usize];
             if state.phase == Phase::Connected && state.server == Some(server) {
--- a/crates/simulator/src/world/servers.rs
+++ b/crates/simulator/src/world/servers.rs
@@ -1,4 +1,4 @@
-//! Transcribers in the world: set-ups, standing connections, crowding, pauses, drains and ends.
+//! Servers in the world: setups, established connections, overload, pauses, draining and termination.
 
 use super::{Phase, World, CLOCK_START, NOT_CONNECTED};
 use crate::checker::{Rule, TraceSubject};
@@ -6,25 +6,25 @@
     as_seconds, millis, seconds, Incarnation, ServerChange, SimTime, SimulationEvent,
 };
 use crate::population::{setup_work, stream};
-use crate::server_model::{PendingSetup, ServedInterval, ServerModel, ServerState};
+use crate::server_model::{QueuedSetup, ServedInterval, ServerModel, ServerState};
 use lupincrank_placement::{
     key_hash, rank_score, server_hash, Endpoint, Health, Outcome, ServerId, Timestamp,
 };
 use rand::{Rng, RngCore};
 use rand_distr::{Exp1, StandardNormal};
 
-/// The part of its capacity that a crowded transcriber sheds down to.
+/// The fraction of its capacity that an overloaded server sheds load down to.
 const SHED_TARGET_RATIO: f64 = 0.9;
 
 impl World<'_> {
-    /// The transcribers of the start, all warm and listed.
+    /// Adds the initial servers, all warm and in the endpoint list.
     pub(super) fn build_fleet(&mut self) {
         let kinds = self.scenario.fleet.kind.clone();
         let total_share: f64 = kinds.iter().map(|kind| kind.share).sum();
         let count = self.scenario.fleet.transcribers;
         let mut owed = vec![0.0; kinds.len()];
         for index in 0..count {
-            // Kinds take turns by their shares, so that a small fleet has them in the right parts.
+            // Machine kinds alternate by their shares, so that a small fleet has them in the right proportion.
             owed.iter_mut()
                 .zip(&kinds)
                 .for_each(|(owed, kind)| *owed += kind.share / total_share);
@@ -70,7 +70,7 @@
         index
     }
 
-    /// What discovery says of a transcriber.
+    /// Returns discovery's entry for a server.
     pub(super) fn endpoint(&self, index: u32, health: Health) -> Endpoint {
         let server = &self.fleet[index as usize];
         let clock_ahead_s = self.scenario.discovery.clock_ahead_s;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The transcriber with the top product score for a client's key.
+    /// Returns the server with the highest rank score for a client's key.
     pub(super) fn top_ranked_server(&self, client: u32) -> u32 {
         let (key, group) = self.keys(client);
         let key = key_hash(group.as_deref().unwrap_or(&key));
@@ -105,7 +105,7 @@
             .map_or(0, |(_, index)| index)
     }
 
-    /// Advances a server's model to now and records what it served.
+    /// Advances a server's model to the current time and records what it served.
     pub(super) fn advance(&mut self, index: u32) {
         let now = self.now;
         let Some(server) = self.fleet.get_mut(index as usize) else {
@@ -141,10 +141,10 @@
                 );
             }
         }
-        self.metrics.setup_work.total_s += load * elapsed_s;
+        self.metrics.work.total_s += load * elapsed_s;
     }
 
-    /// A client's connection joins a transcriber.
+    /// Adds a client's connection to a server.
     pub(super) fn add_connection(&mut self, client: u32, server: u32) {
         self.advance(server);
         let state = &mut self.clients[client as usize];
@@ -157,7 +157,7 @@
         );
     }
 
-    /// Ends whatever a client has at a transcriber.
+    /// Ends a client's attempt or connection at its server.
     pub(super) fn release(&mut self, client: u32) {
         let state = &mut self.clients[client as usize];
         let Some(server) = state.server.take() else {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// An attempt's first line arrives, or finds that nothing takes it.
+    /// Handles the first line of an attempt at a server, which may not accept it.
     pub(super) fn attempt_arrives(
         &mut self,
         request: u64,
@@ -188,12 +188,12 @@
         };
         let state = &self.clients[client as usize];
         if state.attempts != attempt + 1 || state.server != Some(index) || state.answered {
-            return; // called off on its way
+            return; // cancelled on its way
         }
         let (node, class, sent) = (state.node, state.class, state.sent_at);
         let zone = self.nodes[node as usize].zone;
         self.advance(index);
-        let return_delay = self.network_delay(zone, self.fleet[index as usize].zone);
+        let delay = self.network_delay(zone, self.fleet[index as usize].zone);
         let server = &self.fleet[index as usize];
         let fail = |world: &mut Self, time: SimTime, outcome: Outcome| {
             world.queue.schedule(
@@ -202,28 +202,24 @@
             );
         };
         let timeout = sent + millis(self.scenario.nodes.connect_timeout_ms);
-        let connections = server.connected_clients.len() as u32
-            + server.running_setups
-            + server.pending_setups.len() as u32;
+        let count = server.clients.len() as u32 + server.setups + server.queued_setups.len() as u32;
         match server.state {
             ServerState::Unresponsive => {
                 return fail(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
             }
-            ServerState::Down => {
-                return fail(self, self.now + return_delay, Outcome::ConnectFailed)
-            }
+            ServerState::Down => return fail(self, self.now + delay, Outcome::ConnectFailed),
             ServerState::Up | ServerState::Draining if server.incarnation != incarnation => {
-                return fail(self, self.now + return_delay, Outcome::ConnectFailed)
+                return fail(self, self.now + delay, Outcome::ConnectFailed)
             }
-            ServerState::Draining => return fail(self, self.now + return_delay, Outcome::Rejected),
-            ServerState::Up if connections >= server.connection_limit() => {
+            ServerState::Draining => return fail(self, self.now + delay, Outcome::Rejected),
+            ServerState::Up if count >= server.connection_limit() => {
                 return fail(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
             }
             ServerState::Up => {}
         }
         self.check_warm_up_overload(index, node, class);
         if self.fleet[index as usize].state != ServerState::Up {
-            return; // that pushed it over; its attempts have been ended
+            return; // the server failed from overload, which ended its attempts
         }
         let (setup_slots, max_pending) = (
             self.fleet[index as usize].setup_slots(),
@@ -233,25 +229,25 @@
             &self.scenario.class[class],
             &mut self.clients[client as usize].rng,
         );
-        let setup = PendingSetup {
+        let setup = QueuedSetup {
             request,
             attempt,
             work,
             arrived_at: self.now,
         };
         let server = &mut self.fleet[index as usize];
-        if server.running_setups < setup_slots {
+        if server.setups < setup_slots {
             self.begin_setup(index, setup);
-        } else if (server.pending_setups.len() as u32) < max_pending {
-            server.pending_setups.push_back(setup);
+        } else if (server.queued_setups.len() as u32) < max_pending {
+            server.queued_setups.push_back(setup);
         } else {
-            fail(self, self.now + return_delay, Outcome::Rejected);
+            fail(self, self.now + delay, Outcome::Rejected);
         }
     }
 
-    /// Counts what a cold transcriber is sent, and lets it fall over when that is too much.
+    /// Counts the load sent to a server that is warming up, and terminates it if that is an overload.
     fn check_warm_up_overload(&mut self, index: u32, node: u32, class: usize) {
-        let known_start = self.nodes[node as usize]
+        let known_incarnation = self.nodes[node as usize]
             .known_starts
             .get(index as usize)
             .copied()
@@ -263,8 +259,8 @@
             self.scenario.rules.fall_s,
         );
         let server = &mut self.fleet[index as usize];
-        let knows_start = known_start == server.incarnation;
-        if !server.add_warm_up_load(self.now, load, knows_start, factor, window_s) {
+        let is_informed = known_incarnation == server.incarnation;
+        if !server.add_warm_up_load(self.now, load, is_informed, factor, window_s) {
             return;
         }
         let warm_up_load = server.warm_up_load;
@@ -290,15 +286,15 @@
         );
     }
 
-    fn begin_setup(&mut self, index: u32, setup: PendingSetup) {
+    fn begin_setup(&mut self, index: u32, setup: QueuedSetup) {
         let now = self.now;
         let server = &mut self.fleet[index as usize];
-        server.running_setups += 1;
+        server.setups += 1;
         let waited = as_seconds(now - setup.arrived_at);
         self.metrics.setup_waits.total_s += waited;
         self.metrics.setup_waits.started += 1;
         self.metrics.setup_waits.delayed += u64::from(waited > 0.0);
-        self.metrics.setup_work.total_s += setup.work;
+        self.metrics.work.total_s += setup.work;
         let duration_s = server.setup_duration_s(now, setup.work);
         if server.load() > 0.0 {
             server.backlog += setup.work;
@@ -310,7 +306,7 @@
         );
     }
 
-    /// A set-up is done: the connection stands, unless it was called off meanwhile.
+    /// Completes a setup: the connection is established, unless the attempt was cancelled.
     pub(super) fn setup_done(
         &mut self,
         request: u64,
@@ -324,9 +320,9 @@
             return;
         }
         self.advance(index);
-        self.fleet[index as usize].running_setups -= 1;
-        while let Some(next) = self.fleet[index as usize].pending_setups.pop_front() {
-            // One that was called off while it waited costs nothing.
+        self.fleet[index as usize].setups -= 1;
+        while let Some(next) = self.fleet[index as usize].queued_setups.pop_front() {
+            // A setup that was cancelled while it waited costs nothing.
             if self
                 .client_awaiting_setup(next.request, next.attempt, index)
                 .is_some()
@@ -336,7 +332,7 @@
             }
         }
         let Some(client) = self.client_awaiting_setup(request, attempt, index) else {
-            self.metrics.setup_work.wasted_s += self
+            self.metrics.work.wasted_s += self
                 .scenario
                 .class
                 .first()
@@ -361,7 +357,7 @@
         );
     }
 
-    /// The client whose attempt at this transcriber is still waited for.
+    /// Returns the client of an attempt to this server that is still running.
     fn client_awaiting_setup(&self, request: u64, attempt: u32, index: u32) -> Option<u32> {
         let client = self.client_of(request)?;
         let state = &self.clients[client as usize];
@@ -370,7 +366,7 @@
         (is_pending && state.attempts == attempt + 1).then_some(client)
     }
 
-    /// A crowded transcriber drops its newest connections until it can bear the rest.
+    /// Drops the newest connections of an overloaded server until it has capacity for the rest.
     pub(super) fn shed_load(&mut self, index: u32) {
         let server = &self.fleet[index as usize];
         if !server.is_serving()
@@ -379,7 +375,7 @@
             return;
         }
         let mut newest: Vec<(SimTime, u32)> = server
-            .connected_clients
+            .clients
             .iter()
             .map(|client| (self.clients[*client as usize].sent_at, *client))
             .collect();
@@ -393,7 +389,7 @@
         }
     }
 
-    /// A connection breaks: its node hears a reset, and its client comes again.
+    /// Breaks a connection: its node receives a reset, and its client reconnects.
     pub(super) fn break_connection(&mut self, client: u32) {
         match self.clients[client as usize].phase {
             Phase::Connected => {
@@ -423,7 +419,7 @@
         }
     }
 
-    /// It stands still for a moment: what it could have done meanwhile is piled up.
+    /// Pauses a server: the work that it could have done meanwhile is added to its backlog.
     pub(super) fn pause_server(&mut self, index: u32, incarnation: Incarnation) {
         if self.fleet[index as usize].incarnation != incarnation
             || !self.fleet[index as usize].is_serving()
@@ -436,18 +432,18 @@
         self.schedule_pause(index);
     }
 
-    /// It stops to answer: whatever it had is cut off.
+    /// Terminates a server, which breaks its connections and attempts.
     pub(super) fn terminate_server(&mut self, index: u32) {
         self.advance(index);
         let server = &mut self.fleet[index as usize];
         server.state = ServerState::Down;
         server.incarnation += 1;
-        server.running_setups = 0;
-        let pending_setups = std::mem::take(&mut server.pending_setups);
-        for client in server.connected_clients.clone() {
+        server.setups = 0;
+        let queued_setups = std::mem::take(&mut server.queued_setups);
+        for client in server.clients.clone() {
             self.break_connection(client);
         }
-        for setup in pending_setups {
+        for setup in queued_setups {
             let (request, attempt) = (setup.request, setup.attempt);
             self.queue.schedule(
                 self.now + millis(1.0),
@@ -456,7 +452,8 @@
         }
     }
 
-    /// It drains: it takes nothing new, sends its clients away bit by bit where that is its custom, and ends.
+    /// Starts to drain a server: it accepts nothing new, sends its clients away one by one if `goaway` is set, and
+    /// then terminates.
     pub(super) fn start_drain(&mut self, index: u32, duration: SimTime) {
         if self.fleet[index as usize].state != ServerState::Up {
             return;
@@ -473,9 +470,9 @@
             self.now + duration,
             SimulationEvent::ServerStops(index, incarnation),
         );
-        let count = self.fleet[index as usize].connected_clients.len() as u64;
+        let count = self.fleet[index as usize].clients.len() as u64;
         if self.scenario.fleet.goaway && count > 0 {
-            // Evenly over nine tenths of the drain.
+            // Spread evenly over nine tenths of the drain.
             let gap = duration * 9 / 10 / count;
             for number in 1..=count {
                 self.queue.schedule(
@@ -491,8 +488,8 @@
         if server.incarnation != incarnation || server.state != ServerState::Draining {
             return;
         }
-        let connected_clients = server.connected_clients.iter().copied();
-        let first = connected_clients
+        let clients = server.clients.iter().copied();
+        let first = clients
             .filter(|client| self.clients[*client as usize].phase == Phase::Connected)
             .min();
         if let Some(client) = first {
@@ -502,7 +499,7 @@
         }
     }
 
-    /// A drained transcriber ends.
+    /// Terminates a drained server.
     pub(super) fn stop_server(&mut self, index: u32, incarnation: Incarnation) {
         if self.fleet[index as usize].incarnation != incarnation
             || self.fleet[index as usize].state == ServerState::Down
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker reports a policy that breaks a rule on purpose, and nothing about one that does not.
+//! The checker reports each policy that breaks a rule on purpose, and no violation of one that does not.
 
 use lupincrank_placement::{
     Action, Balancer, Event, Health, RequestId, ServerId, Settings, Timestamp,
@@ -12,25 +12,25 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a policy does wrong.
+/// The fault of a policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Misbehaviour {
     Nothing,
-    /// It leaves every seventh request without an answer.
+    /// It leaves every seventh request unanswered.
     DropsRequests,
-    /// It answers a request that it refused once more.
+    /// It answers each rejected request twice.
     AnswersTwice,
-    /// It sends each request again at once, to the same transcriber.
+    /// It starts two attempts at once, to the same server.
     StartsTwoAttempts,
-    /// It sends again whatever ended, beyond what is allowed.
+    /// It retries every attempt that ended, beyond the limit.
     RetriesForever,
-    /// It keeps to the transcribers that leave.
+    /// It prefers servers that are leaving.
     PrefersDraining,
-    /// It sends everything to those that started last.
+    /// It sends everything to the server that started last.
     PrefersCold,
 }
 
-/// The module, with its actions altered by a misbehaviour.
+/// The placement crate, with its actions altered by a misbehaviour.
 struct MisbehavingPolicy {
     misbehaviour: Misbehaviour,
     balancer: Balancer,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends attempts to the preferred server, and returns the attempts that go out beside them.
+    /// Redirects attempts to the preferred server, and returns additional attempts to start.
     fn redirect_attempts(&self, actions: &mut [Action]) -> Vec<Action> {
         let mut extra = Vec::new();
         for action in actions {
--- a/crates/simulator/tests/closed_forms.rs
+++ b/crates/simulator/tests/closed_forms.rs
@@ -1,4 +1,5 @@
-//! The emulator against queueing theory: loss systems block as Erlang B says, waiting ones wait as Erlang C says.
+//! The simulator against queueing theory: systems without a queue block by Erlang B, systems with a queue wait by
+//! Erlang C.
 
 use lupincrank_simulator::policy::PolicyName;
 use lupincrank_simulator::scenario::{parse, Scenario};
@@ -7,7 +8,7 @@
 
 const CHANNELS: u32 = 6;
 
-/// The share of arrivals that find all lines taken, for an offered load in lines.
+/// The probability that an arrival finds all channels busy, for an offered load in channels.
 fn erlang_b(load: f64, channels: u32) -> f64 {
     (1..=channels).fold(1.0, |blocked, channel| {
         let offered = load * blocked;
@@ -15,13 +16,13 @@
     })
 }
 
-/// The share of arrivals that wait.
+/// The probability that an arrival waits.
 fn erlang_c(load: f64, channels: u32) -> f64 {
     let (blocked, utilization) = (erlang_b(load, channels), load / f64::from(channels));
     blocked / (1.0 - utilization * (1.0 - blocked))
 }
 
-/// One transcriber, one node, no delays, no second tries: a bare queue.
+/// One server, one node, no delays and no retries: a plain queue.
 fn single_server_scenario(
     rate: f64,
     length_s: f64,
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -1,4 +1,5 @@
-//! Runs repeat to the byte, nothing grows without bound, and what is wrong in a file is told with its place.
+//! Runs repeat to the byte, memory and events stay bounded, and errors in a scenario file are reported with their
+//! place.
 
 use lupincrank_simulator::experiments::{compare, search, sweep, Estimate};
 use lupincrank_simulator::policy::PolicyName;
@@ -43,7 +44,8 @@
     );
 }
 
-/// Four times what the fleet can carry, for twice as long: what waits is bounded by the clients, not by the time.
+/// With four times the load that the fleet has capacity for, the queue's length must be bounded by the number of
+/// clients and not grow with the run's duration (60 s and 240 s).
 #[test]
 fn an_overloaded_simulation_keeps_its_queue_bounded() {
     let mut scenario = small();
@@ -62,10 +64,10 @@
 
 #[test]
 fn events_grow_with_the_work_not_with_its_square() {
-    let events = |transcribers: u32| {
+    let events = |server_count: u32| {
         let mut scenario = small();
-        scenario.fleet.transcribers = transcribers;
-        scenario.nodes.count = transcribers / 10;
+        scenario.fleet.transcribers = server_count;
+        scenario.nodes.count = server_count / 10;
         run_scenario(&scenario, 1, PolicyName::TwoChoices).events as f64
     };
     let (small_fleet, large_fleet) = (events(20), events(160));
