--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -245,7 +245,7 @@
         self.add_demand(class, from, until, 1.0);
     }
 
-    /// Withdraws demand recorded by `record_demand`, for a client that leaves early.
+    /// Withdraws the demand between two times that `record_demand` recorded, as a client leaves early.
     pub fn withdraw_demand(&mut self, class: usize, from: SimTime, until: SimTime) {
         self.add_demand(class, from, until, -1.0);
     }
@@ -368,10 +368,10 @@
 
     /// Returns the penalty on service for wasted work, cross-zone attempts and migrations.
     fn penalty(&self, goal: &Goal) -> f64 {
-        let firsts = (self.first_requests as f64).max(1.0);
+        let first_requests = (self.first_requests as f64).max(1.0);
         goal.waste * self.work.wasted_s / self.work.total_s.max(1e-9)
-            + goal.cross_zone * self.cross_zone_attempts as f64 / firsts
-            + goal.moves * self.migrations as f64 / firsts
+            + goal.cross_zone * self.cross_zone_attempts as f64 / first_requests
+            + goal.moves * self.migrations as f64 / first_requests
     }
 
     /// Returns the timeline, with the service of each second filled in.
--- a/crates/simulator/src/population.rs
+++ b/crates/simulator/src/population.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Draws the client with a serial number. An established connection is met midway: long ones are more likely, and
-    /// part of their duration is over.
+    /// Draws the client with a serial number. An established connection is already under way: long ones are more
+    /// likely, and part of their duration is over.
     pub fn draw(&self, serial: u64, is_established: bool) -> ClientDraw {
         let mut rng = stream(self.seed, 1, serial);
         let position: f64 = rng.gen();
--- a/crates/simulator/src/server_model.rs
+++ b/crates/simulator/src/server_model.rs
@@ -42,7 +42,7 @@
     pub zone: u32,
     /// The index of its machine kind in the scenario.
     pub kind_index: usize,
-    /// Its capacity as given in the endpoint list.
+    /// Its weight in the endpoint list, which stands for its capacity.
     pub weight: f64,
     /// The state of its process.
     pub state: ServerState,
@@ -183,7 +183,7 @@
         self.load() / self.capacity(now)
     }
 
-    /// Returns true if it answers at all.
+    /// Returns true if the server answers, so if it is up or draining.
     pub fn is_serving(&self) -> bool {
         matches!(self.state, ServerState::Up | ServerState::Draining)
     }
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -21,31 +21,31 @@
     }
 
     /// Starts a fault, or its next step.
-    pub(super) fn start_fault_step(&mut self, number: u32, step: u32) {
-        let fault = self.scenario.faults[number as usize].clone();
+    pub(super) fn start_fault_step(&mut self, fault_index: u32, step: u32) {
+        let fault = self.scenario.faults[fault_index as usize].clone();
         let ends_at = self.now + seconds(fault.for_s);
         if step == 0 {
             self.queue
-                .schedule(ends_at, SimulationEvent::FaultEnds(number));
+                .schedule(ends_at, SimulationEvent::FaultEnds(fault_index));
         }
         match fault.kind {
-            FaultKind::Silent => self.begin_unresponsive(number, &fault),
-            FaultKind::ZoneLost => self.begin_zone_lost(number, &fault),
-            FaultKind::Slow => self.begin_slow(number, &fault),
-            FaultKind::Deploy => self.continue_deploy(number, step, &fault),
-            FaultKind::Shrink => self.continue_shrink(number, step, &fault),
-            FaultKind::NodeDown => self.begin_node_down(number, &fault, ends_at),
+            FaultKind::Silent => self.begin_unresponsive(fault_index, &fault),
+            FaultKind::ZoneLost => self.begin_zone_lost(fault_index, &fault),
+            FaultKind::Slow => self.begin_slow(fault_index, &fault),
+            FaultKind::Deploy => self.continue_deploy(fault_index, step, &fault),
+            FaultKind::Shrink => self.continue_shrink(fault_index, step, &fault),
+            FaultKind::NodeDown => self.begin_node_down(fault_index, &fault, ends_at),
             FaultKind::DiscoveryDown => self.set_discovery_down(true),
             FaultKind::DiscoveryStale => self.set_discovery_stale(true),
-            FaultKind::Reset => self.continue_reset(number, &fault),
-            FaultKind::Surge => self.arrival_factors[number as usize] = fault.size,
+            FaultKind::Reset => self.continue_reset(fault_index, &fault),
+            FaultKind::Surge => self.arrival_factors[fault_index as usize] = fault.size,
         }
     }
 
     /// Makes servers unresponsive; discovery and the nodes detect it later.
-    fn begin_unresponsive(&mut self, number: u32, fault: &Fault) {
+    fn begin_unresponsive(&mut self, fault_index: u32, fault: &Fault) {
         let delay = seconds(self.scenario.discovery.silent_notice_s);
-        for index in self.affected_servers(number, fault.part) {
+        for index in self.affected_servers(fault_index, fault.part) {
             if !self.fleet[index as usize].is_serving() {
                 continue;
             }
@@ -69,8 +69,8 @@
     }
 
     /// Terminates the processes of a zone at the same time.
-    fn begin_zone_lost(&mut self, number: u32, fault: &Fault) {
-        let terminated = self.affected_in_zone(number, fault.part);
+    fn begin_zone_lost(&mut self, fault_index: u32, fault: &Fault) {
+        let terminated = self.affected_in_zone(fault_index, fault.part);
         for index in &terminated {
             self.terminate_server(*index);
             let incarnation = self.fleet[*index as usize].incarnation;
@@ -80,12 +80,12 @@
                 SimulationEvent::DiscoveryUpdated(*index, incarnation, ServerChange::Removed),
             );
         }
-        self.terminated_servers.insert(number, terminated);
+        self.terminated_servers.insert(fault_index, terminated);
     }
 
     /// Slows servers down by the fault's size.
-    fn begin_slow(&mut self, number: u32, fault: &Fault) {
-        for index in self.affected_servers(number, fault.part) {
+    fn begin_slow(&mut self, fault_index: u32, fault: &Fault) {
+        for index in self.affected_servers(fault_index, fault.part) {
             self.advance(index);
             self.fleet[index as usize].slowdown *= fault.size;
         }
@@ -93,8 +93,8 @@
 
     /// Replaces the next batch. The batches are spread evenly over the fault's duration, and the last one starts
     /// before its end.
-    fn continue_deploy(&mut self, number: u32, step: u32, fault: &Fault) {
-        let all = self.affected_servers(number, fault.part);
+    fn continue_deploy(&mut self, fault_index: u32, step: u32, fault: &Fault) {
+        let all = self.affected_servers(fault_index, fault.part);
         let batch =
             ((fault.size * f64::from(self.scenario.fleet.transcribers)).round() as usize).max(1);
         let steps = all.len().div_ceil(batch);
@@ -106,16 +106,18 @@
         }
         if (step as usize) + 1 < steps {
             let gap = seconds(fault.for_s) / steps as u64;
-            self.queue
-                .schedule(self.now + gap, SimulationEvent::FaultStep(number, step + 1));
+            self.queue.schedule(
+                self.now + gap,
+                SimulationEvent::FaultStep(fault_index, step + 1),
+            );
         }
     }
 
     /// Drains one more server and lowers the arrival rate accordingly.
-    fn continue_shrink(&mut self, number: u32, step: u32, fault: &Fault) {
-        let all = self.affected_servers(number, 1.0 - 1.0 / fault.size);
+    fn continue_shrink(&mut self, fault_index: u32, step: u32, fault: &Fault) {
+        let all = self.affected_servers(fault_index, 1.0 - 1.0 / fault.size);
         let (done, steps) = (step as usize, all.len());
-        self.arrival_factors[number as usize] =
+        self.arrival_factors[fault_index as usize] =
             1.0 / (1.0 + (fault.size - 1.0) * (done + 1) as f64 / steps as f64);
         if let Some(index) = all.get(done) {
             self.start_drain(*index, seconds(fault.drain_s));
@@ -125,14 +127,16 @@
         }
         if done + 1 < steps {
             let gap = seconds(fault.for_s) / steps as u64;
-            self.queue
-                .schedule(self.now + gap, SimulationEvent::FaultStep(number, step + 1));
+            self.queue.schedule(
+                self.now + gap,
+                SimulationEvent::FaultStep(fault_index, step + 1),
+            );
         }
     }
 
     /// Terminates nodes until the end of the fault.
-    fn begin_node_down(&mut self, number: u32, fault: &Fault, ends_at: SimTime) {
-        for node in self.affected_nodes(number, fault.part) {
+    fn begin_node_down(&mut self, fault_index: u32, fault: &Fault, ends_at: SimTime) {
+        for node in self.affected_nodes(fault_index, fault.part) {
             if self.nodes[node as usize].is_running {
                 self.kill_node(node);
                 self.queue
@@ -142,14 +146,14 @@
     }
 
     /// Resets one connection and schedules the next reset while the fault lasts.
-    fn continue_reset(&mut self, number: u32, fault: &Fault) {
+    fn continue_reset(&mut self, fault_index: u32, fault: &Fault) {
         self.reset_one_connection();
         let gap = self.rng.sample::<f64, _>(Exp1) / fault.size;
         let started_at = seconds(fault.at_s);
         if as_seconds(self.now - started_at) + gap < fault.for_s {
             self.queue.schedule(
                 self.now + seconds(gap).max(1),
-                SimulationEvent::FaultStep(number, 1),
+                SimulationEvent::FaultStep(fault_index, 1),
             );
         }
     }
@@ -223,11 +227,11 @@
     }
 
     /// Ends a fault.
-    pub(super) fn end_fault(&mut self, number: u32) {
-        let fault = self.scenario.faults[number as usize].clone();
+    pub(super) fn end_fault(&mut self, fault_index: u32) {
+        let fault = self.scenario.faults[fault_index as usize].clone();
         match fault.kind {
             FaultKind::Silent => {
-                for index in self.affected_servers(number, fault.part) {
+                for index in self.affected_servers(fault_index, fault.part) {
                     if self.fleet[index as usize].state != ServerState::Unresponsive {
                         continue;
                     }
@@ -236,19 +240,23 @@
                 }
             }
             FaultKind::ZoneLost => {
-                for index in self.terminated_servers.remove(&number).unwrap_or_default() {
+                for index in self
+                    .terminated_servers
+                    .remove(&fault_index)
+                    .unwrap_or_default()
+                {
                     self.restart_server(index);
                 }
             }
             FaultKind::Slow => {
-                for index in self.affected_servers(number, fault.part) {
+                for index in self.affected_servers(fault_index, fault.part) {
                     self.advance(index);
                     self.fleet[index as usize].slowdown /= fault.size;
                 }
             }
             FaultKind::DiscoveryDown => self.set_discovery_down(false),
             FaultKind::DiscoveryStale => self.set_discovery_stale(false),
-            FaultKind::Surge => self.arrival_factors[number as usize] = 1.0,
+            FaultKind::Surge => self.arrival_factors[fault_index as usize] = 1.0,
             // A shrunk fleet stays small; the other faults end without an action here.
             FaultKind::Shrink | FaultKind::Deploy | FaultKind::NodeDown | FaultKind::Reset => {}
         }
--- a/crates/simulator/src/world/observations.rs
+++ b/crates/simulator/src/world/observations.rs
@@ -1,4 +1,4 @@
-//! What a node observes of its connections: load, long setups, message delays and unresponsive servers.
+//! Observations of nodes: load, long setups, message delays and unresponsive servers.
 
 use super::{Phase, World};
 use crate::event_queue::{Incarnation, SimTime, SimulationEvent, SECOND};
@@ -46,7 +46,7 @@
     }
 
     /// Reports message delays once a second: for each server with late messages, on one connection per node, and once
-    /// more when its messages are no longer late.
+    /// more when its messages are in time again.
     pub(super) fn report_message_delays(&mut self) {
         if self.scenario.nodes.delays != Delays::All {
             return;
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -27,7 +27,7 @@
     /// It prefers servers that are leaving.
     PrefersDraining,
     /// It sends everything to the server that started last.
-    PrefersCold,
+    PrefersLastStarted,
 }
 
 /// The placement crate, with its actions altered by a misbehaviour.
@@ -66,7 +66,7 @@
             };
             let preferred = match self.misbehaviour {
                 Misbehaviour::PrefersDraining => self.draining.last(),
-                Misbehaviour::PrefersCold => self.started.last(),
+                Misbehaviour::PrefersLastStarted => self.started.last(),
                 _ => None,
             };
             *server = preferred.cloned().unwrap_or_else(|| server.clone());
@@ -174,7 +174,7 @@
 #[case(Misbehaviour::StartsTwoAttempts, Rule::Attempts)]
 #[case(Misbehaviour::RetriesForever, Rule::Attempts)]
 #[case(Misbehaviour::PrefersDraining, Rule::Drain)]
-#[case(Misbehaviour::PrefersCold, Rule::Cold)]
+#[case(Misbehaviour::PrefersLastStarted, Rule::Cold)]
 fn the_checker_reports_each_broken_rule(#[case] misbehaviour: Misbehaviour, #[case] rule: Rule) {
     let run = run_misbehaving(misbehaviour);
     let found = run.rules_broken.iter().find(|broken| broken.rule == rule);
