--- a/crates/node/src/client/connection.rs
+++ b/crates/node/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection until a relay passes its bytes on, or until it has this node's own answer.
+//! A client's connection until a relay takes it over, or until it is closed after an answer of the node itself.
 
 mod request;
 mod transfer;
@@ -18,16 +18,17 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// How long a client may take for its first line. Some need 2 s to write it, and whoever connects is owed an answer or
-/// a close in 3 s.
+/// How long a client may take to send its first line. Some clients need 2 s to write it, and every client must get an
+/// answer or a close within 3 s of connecting.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a client that has its answer may take to close.
+/// How long a client may take to close after its answer.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Reads in one turn of the loop. Guards against a client that sends at full speed and keeps the others waiting.
+/// The maximum number of reads in one turn of the event loop. Guards against a client that sends at full speed and
+/// delays other connections.
 const MAX_READS_PER_TURN: usize = 4;
 const READ_CHUNK_BYTES: usize = 4 << 10;
-/// What is still read of a client that has its answer: enough for one that had sent a little more by then, so that
-/// its answer is not lost to a reset; one that sends on and on is cut off.
+/// The maximum number of bytes read from a client after its answer: enough for a client that had already sent a
+/// little more, so that no reset destroys its answer; a client that keeps sending is cut off.
 const MAX_DRAINED_BYTES: usize = 64 << 10;
 
 /// A first line that is not complete yet.
@@ -36,11 +37,11 @@
     entry: UnidentifiedEntry,
 }
 
-/// An answer on its way to the client, whose close is awaited.
+/// An answer being written to the client, which is then expected to close.
 struct Closing {
-    /// What of the answer is still to be written.
+    /// The part of the answer that is not written yet.
     unsent: Vec<u8>,
-    /// How many bytes were read since the answer, and dropped.
+    /// The number of bytes read and dropped since the answer.
     drained_bytes: usize,
     entry: UnidentifiedEntry,
 }
@@ -68,23 +69,24 @@
 /// A client's connection without a server.
 pub(crate) struct ClientConnection {
     id: ComponentId,
-    /// `None` once a relay has it.
+    /// `None` once a relay has taken it over.
     stream: Option<Registered<TcpStream>>,
     state: State,
-    /// It was sent to another process: nothing is read until that process has accepted or refused it.
+    /// The connection was sent to another process: nothing is read until that process has accepted or refused it.
     is_in_transfer: bool,
 }
 
 impl ClientConnection {
-    /// Takes an accepted connection, whose socket is registered as the component `id`, and reads what has come on it
-    /// already.
+    /// Takes over an accepted connection, whose socket is registered as the component `id`, and reads the bytes that
+    /// have already arrived.
     pub(super) fn accept(
         context: &mut NodeContext,
         id: ComponentId,
         stream: Registered<TcpStream>,
     ) {
         let mut client = ClientConnection::new(context, id, stream, Vec::new(), FIRST_LINE_TIMEOUT);
-        // Most have sent their line by now: guards against holding one that asks for one that says nothing.
+        // Most clients have sent their first line by now: guards against treating a client with a request as one that
+        // sends nothing.
         if client.read(context) == Lifecycle::Continue {
             context.register(id, Box::new(client));
         } else {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// A connection that has sent `received` of its first line, and whose time for the rest is `timeout`.
+    /// Creates a connection that has sent `received` of its first line and may take `timeout` for the rest.
     fn new(
         context: &mut NodeContext,
         id: ComponentId,
@@ -136,8 +138,8 @@
                 reading.received.extend_from_slice(bytes);
                 self.on_first_line_bytes(context)
             }
-            // A client waits for its answer. One that does not sends what no server can read: guards against
-            // commands by the hundred, and against a server that is blamed for closing on them.
+            // Clients must not send anything before the answer, and no server could parse it. Guards against clients
+            // that send hundreds of commands at once, and against blaming a server that closes because of them.
             State::Waiting(_) => {
                 self.abandon_request(context);
                 self.reject_line(context, FirstLineError::MultipleLines)
@@ -187,7 +189,7 @@
         }
     }
 
-    /// The front sends clients to this node once this is answered with `PONG`: only when they can be served.
+    /// Answers `PING`. The front sends clients to this node after a `PONG`, so it is sent only if they can be served.
     fn answer_ping(&mut self, context: &mut NodeContext) -> Lifecycle {
         if context.check_serving().is_ok() {
             self.answer(context, answer::PONG)
@@ -201,10 +203,10 @@
         self.answer(context, answer::ERROR)
     }
 
-    /// Sends this node's own answer; the request, if there is one, is over for this connection.
+    /// Sends an answer of the node itself; the request, if there is one, has ended for this connection.
     fn answer(&mut self, context: &mut NodeContext, answer: &[u8]) -> Lifecycle {
-        // The old entry among the unidentified connections goes before the new one comes, for both may have the same
-        // key.
+        // The old entry among the unidentified connections is removed before the new one is added because both may
+        // have the same key.
         self.state = State::Finished;
         self.state = State::Closing(Closing {
             unsent: answer.to_vec(),
@@ -217,8 +219,8 @@
         self.write_answer()
     }
 
-    /// Writes what is left of the answer, then ends the sending. The client's close is awaited, for closing at once
-    /// could destroy an answer that it has not read yet.
+    /// Writes the rest of the answer, then shuts down the sending direction. The client is expected to close, because
+    /// closing at once could destroy an answer that it has not read yet.
     fn write_answer(&mut self) -> Lifecycle {
         let (State::Closing(closing), Some(stream)) = (&mut self.state, &mut self.stream) else {
             return Lifecycle::Close;
@@ -229,15 +231,16 @@
         }
     }
 
-    /// The client sends no more: its request is sent nowhere from now on. It may still read, so that it is told.
+    /// Handles a client that has shut down its sending direction: its request is not sent to any server. The client
+    /// may still read, so it gets an answer.
     fn on_client_end(&mut self, context: &mut NodeContext) -> Lifecycle {
         if matches!(self.state, State::Waiting(_)) {
-            self.write_last_words(answer::ERROR);
+            self.write_final_answer(answer::ERROR);
         }
         self.on_client_closed(context)
     }
 
-    /// The client has closed: nothing is owed to it.
+    /// Handles a client that has disconnected: it gets no answer.
     fn on_client_closed(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.abandon_request(context);
         Lifecycle::Close
@@ -257,10 +260,10 @@
         }
     }
 
-    /// The connection has to close, because its time is up or the process exits: what has come of it by now is read
-    /// first. Guards against closing a connection whose request is complete: its last byte may have come while this
-    /// process was kept from reading. One that has sent nothing is rejected all the same: its first line may cross the
-    /// end of the connection, and has an answer then.
+    /// Handles a connection that has to close because its time is up or the process exits. What has arrived is read
+    /// first: guards against closing a connection whose request is complete, since its last byte may have arrived
+    /// while this process was kept from reading. A client that has sent nothing is rejected too: its first line may
+    /// cross the close, and then has an answer.
     fn on_expired(&mut self, context: &mut NodeContext) -> Lifecycle {
         if self.read(context) == Lifecycle::Close {
             return Lifecycle::Close;
@@ -274,16 +277,16 @@
         }
     }
 
-    /// Writes as much of an answer as the socket takes at once, ahead of a close that waits for nothing.
-    fn write_last_words(&mut self, answer: &[u8]) {
+    /// Writes as much of an answer as the socket accepts at once, before an immediate close.
+    fn write_final_answer(&mut self, answer: &[u8]) {
         if let Some(stream) = &self.stream {
-            // Who is told may have gone.
+            // The client may already have disconnected.
             let _ = stream.write(answer);
         }
     }
 }
 
-/// Lists a connection as unidentified, until its expiry after `timeout`.
+/// Adds a connection to the unidentified ones; it expires after `timeout`.
 fn add_unidentified(
     context: &mut NodeContext,
     id: ComponentId,
@@ -296,7 +299,7 @@
     entry
 }
 
-/// Writes `unsent` as far as the stream accepts it, and ends the sending behind its last byte.
+/// Writes as much of `unsent` as the stream accepts, and shuts down the sending direction after the last byte.
 fn write_all_or_wait(stream: &mut Registered<TcpStream>, unsent: &mut Vec<u8>) -> io::Result<()> {
     while !unsent.is_empty() {
         match stream.write(unsent) {
--- a/crates/node/src/client/connection/request.rs
+++ b/crates/node/src/client/connection/request.rs
@@ -1,4 +1,4 @@
-//! The wait of a client for its server, from the complete first line to the relay or the answer.
+//! A client's wait for a server, from the complete first line to the relay or the answer.
 
 use super::{ClientConnection, State};
 use crate::client::answer;
@@ -16,10 +16,10 @@
 use slog::debug;
 use std::time::{Duration, Instant};
 
-/// Connections from before this process began are accepted for this long after its start.
+/// Connections that were established before this process started are accepted for this long after its start.
 const RESTORE_WINDOW: Duration = Duration::from_secs(60);
-/// The line of a connection from before this process began is sent this often. Connects that fail are made again so long
-/// apart for at most so long: the server may come up late.
+/// The line of a restored connection is sent at most this many times. Failed connects are retried at intervals of
+/// [`RESTORE_BACKOFF`] for up to [`MAX_RESTORE_WAIT`]: the server may start late.
 const MAX_RESTORE_SENDS: u32 = 3;
 const RESTORE_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_RESTORE_WAIT: Duration = Duration::from_secs(40);
@@ -27,19 +27,20 @@
 /// A request that waits for a server.
 pub(super) struct WaitingRequest {
     open: OpenRequest,
-    /// The first line as it came, its terminator included.
+    /// The first line as received, including its terminator.
     line: Vec<u8>,
     /// When the client stops waiting.
     deadline: Instant,
-    /// The attempt that was begun last.
+    /// The latest attempt.
     attempt: Option<ComponentId>,
-    /// How often the line of a connection from before this process began may have been taken by its server.
+    /// How many times the line of a restored connection may have been received by its server.
     restore_sends: u32,
     slot: ClientSlot,
 }
 
 impl WaitingRequest {
-    /// Whether the connection stood at a server before this process began: placement does not know of it.
+    /// Returns true if the connection was established at a server before this process started: placement does not
+    /// know about it.
     fn is_restored(&self) -> bool {
         self.open.current_server.is_some()
     }
@@ -60,7 +61,7 @@
     }
 }
 
-/// The first line: whether the request may begin, and its begin.
+/// Admission and start of a request.
 impl ClientConnection {
     pub(super) fn on_open(
         &mut self,
@@ -119,9 +120,9 @@
     }
 }
 
-/// Attempts, and how they end.
+/// Attempts and their outcomes.
 impl ClientConnection {
-    /// Placement has chosen a server.
+    /// Starts an attempt at the server that placement has chosen.
     pub(super) fn on_start_attempt(
         &mut self,
         context: &mut NodeContext,
@@ -154,8 +155,9 @@
         UpstreamAttempt::begin(context, id, attempt);
     }
 
-    /// The attempt has its connection. What has come of the client is read ahead of its turn: it may have left, and
-    /// what tells so may wait behind much else where the CPU is used up. What nobody waits for is not sent on.
+    /// Handles an attempt that is connected. The client's socket is read first, out of turn: the client may have
+    /// disconnected, and if the CPU is overloaded the event that shows this may be queued behind many others. A
+    /// request that no client waits for is not sent.
     pub(super) fn on_attempt_connected(
         &mut self,
         context: &mut NodeContext,
@@ -171,7 +173,8 @@
         lifecycle
     }
 
-    /// A server has accepted the request: both sockets go to a relay, which takes the id of this component.
+    /// Handles a request that a server has accepted: both sockets go to a relay, which takes over the id of this
+    /// component.
     pub(super) fn on_attempt_accepted(
         &mut self,
         context: &mut NodeContext,
@@ -202,7 +205,7 @@
         Lifecycle::Close
     }
 
-    /// A server has served the request to its end at once; `line` is its answer.
+    /// Handles a request that a server has already served completely; `line` is its answer.
     pub(super) fn on_attempt_served(
         &mut self,
         context: &mut NodeContext,
@@ -222,9 +225,9 @@
     }
 }
 
-/// Connections that stood at a server before this process began.
+/// Restoring of connections that were established at a server before this process started.
 impl ClientConnection {
-    /// Sends the connection to the server that holds it.
+    /// Sends the request to the server that holds the connection.
     fn restore(&mut self, context: &mut NodeContext) -> Lifecycle {
         let State::Waiting(waiting) = &mut self.state else {
             return Lifecycle::Continue;
@@ -248,7 +251,7 @@
         Lifecycle::Continue
     }
 
-    /// The server did not take the connection back; it is attempted again soon.
+    /// Schedules another attempt, since the server did not accept the restored connection.
     pub(super) fn on_restore_failed(
         &mut self,
         context: &mut NodeContext,
@@ -266,7 +269,7 @@
         Lifecycle::Continue
     }
 
-    /// The next attempt is due. Whether the client still waits is seen first.
+    /// Starts the next attempt if the client still waits.
     pub(super) fn on_restore_retry(&mut self, context: &mut NodeContext) -> Lifecycle {
         match self.read(context) {
             Lifecycle::Continue => self.restore(context),
@@ -275,9 +278,9 @@
     }
 }
 
-/// Ends of the wait without a server.
+/// Answers without a server.
 impl ClientConnection {
-    /// Placement rejects the request.
+    /// Answers a request that placement has rejected.
     pub(super) fn on_rejected(
         &mut self,
         context: &mut NodeContext,
@@ -286,14 +289,14 @@
         self.answer_waiting(context, &answer::busy(retry_after))
     }
 
-    /// The request has failed.
+    /// Answers a request that has failed.
     pub(super) fn on_failed(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.answer_waiting(context, answer::ERROR)
     }
 
-    /// The process exits. Placement answers the requests that it knows; of a connection from before this process began
-    /// it knows nothing. Where the line of such a one may have gone out, its server may hold it by now, so that it is
-    /// not answered as rejected.
+    /// Handles the exit of the process. Placement answers the requests that it knows, which do not include restored
+    /// connections. If the line of a restored connection may have been sent, its server may already hold the
+    /// connection, so it is not answered with a rejection.
     pub(super) fn on_exit(&mut self, context: &mut NodeContext, scope: ExitScope) -> Lifecycle {
         match &self.state {
             State::ReadingFirstLine(_) if scope == ExitScope::AllConnections => {
@@ -319,15 +322,15 @@
         self.answer(context, answer)
     }
 
-    /// The descriptor of an unidentified connection is needed: one that has sent nothing is closed at once.
+    /// Frees the file descriptor of an unidentified connection: a client that has sent nothing is closed at once.
     pub(super) fn on_close(&mut self, context: &mut NodeContext) -> Lifecycle {
         match &self.state {
             State::ReadingFirstLine(_) => {
                 let lifecycle = self.read(context);
-                let is_silent = matches!(&self.state,
+                let has_sent_nothing = matches!(&self.state,
                     State::ReadingFirstLine(reading) if reading.received.is_empty());
-                if lifecycle == Lifecycle::Continue && is_silent {
-                    self.write_last_words(&answer::busy(Duration::ZERO));
+                if lifecycle == Lifecycle::Continue && has_sent_nothing {
+                    self.write_final_answer(&answer::busy(Duration::ZERO));
                     return Lifecycle::Close;
                 }
                 match lifecycle {
@@ -340,7 +343,8 @@
         }
     }
 
-    /// Nobody waits for the request any more, and its attempt is closed. That says nothing of the server.
+    /// Abandons the request, which no client waits for, and closes its attempt. This is no evidence against the
+    /// server.
     pub(super) fn abandon_request(&mut self, context: &mut NodeContext) {
         let State::Waiting(waiting) = &self.state else {
             return;
@@ -349,7 +353,7 @@
         debug!(context.log, "client left"; "request" => hex_id(request));
         waiting.close_attempt(context);
         if !waiting.is_restored() {
-            context.placement.on_client_gone(request);
+            context.placement.on_client_disconnected(request);
         }
     }
 }
--- a/crates/node/src/client/connection/transfer.rs
+++ b/crates/node/src/client/connection/transfer.rs
@@ -13,8 +13,9 @@
 use std::time::{Duration, Instant};
 
 impl ClientConnection {
-    /// Goes on with a client of another process whose first line is not complete yet: `received` is what has come of
-    /// it, and `time_left` what the client may still take. Its socket is registered as the component `id`.
+    /// Continues a client of another process whose first line is not complete yet: `received` is the part that has
+    /// arrived, and `time_left` is how long the client may still take. Its socket is registered as the component
+    /// `id`.
     pub(crate) fn resume_transferred(
         context: &mut NodeContext,
         id: ComponentId,
@@ -65,10 +66,10 @@
         Lifecycle::Continue
     }
 
-    /// The other process has not taken the connection: it goes on here.
+    /// Continues the connection, since the other process has refused it.
     fn on_transfer_cancelled(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.is_in_transfer = false;
-        // The deadline may have passed unheeded meanwhile.
+        // Deadlines are ignored during the transfer, so this one may have passed.
         if let Some(entry) = self.state.unidentified_entry() {
             context
                 .deadlines
--- a/crates/node/src/client/first_line.rs
+++ b/crates/node/src/client/first_line.rs
@@ -1,6 +1,6 @@
-//! Parsing of the first line of a client.
+//! Parsing of a client's first line.
 
-use crate::upstream::server_line::{parse_figure, MAX_LINE_BYTES};
+use crate::upstream::server_line::{parse_number, MAX_LINE_BYTES};
 use lupincrank_placement::{RequestId, RequestInfo, Timestamp};
 use std::ops::Range;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 const REQUEST_ID_DIGITS: usize = 16;
 const LINE_TERMINATOR: &[u8] = b"\r\n";
 
-/// The names of the settings that first lines use.
+/// The names in the settings that first lines refer to.
 #[derive(Clone, Copy)]
 pub(super) struct SettingsNames<'a> {
     /// The classes.
@@ -18,38 +18,39 @@
     pub(super) tenants: &'a [String],
 }
 
-/// What a first line asks for.
+/// A parsed first line.
 #[derive(Debug, PartialEq)]
 pub(super) enum FirstLine {
-    /// `PING`: whether this node can serve.
+    /// `PING`: asks whether this node can serve clients.
     Ping,
-    /// `OPEN ...`: a connection to a server.
+    /// `OPEN ...`: requests a connection to a server.
     Open(OpenRequest),
 }
 
-/// Why a client is answered with `ERR` on account of its first line.
+/// The reason why a first line is answered with `ERR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FirstLineError {
-    /// No end within the longest line.
-    #[error("no line end in {MAX_LINE_BYTES} bytes")]
+    /// No line end within the maximum line length.
+    #[error("first line not terminated within {MAX_LINE_BYTES} bytes")]
     Unterminated,
-    /// The line does not end in CR LF, or is longer than the longest line.
-    #[error("invalid line end or length")]
+    /// The line does not end in CR LF, or exceeds the maximum length.
+    #[error("first line not terminated by CR LF, or too long")]
     InvalidTerminator,
-    /// The line is no `PING`, and no `OPEN` with all fields that it needs.
-    #[error("unknown request or invalid fields")]
+    /// The line is neither a `PING` nor an `OPEN` with valid values for all required fields.
+    #[error("unknown command or invalid fields in first line")]
     InvalidFields,
-    /// More came behind the first line, ahead of the answer.
-    #[error("more than one line")]
+    /// The client sent more after the first line before its answer.
+    #[error("client sent more than its first line before the answer")]
     MultipleLines,
     /// The line was not complete in time.
-    #[error("timed out")]
+    #[error("first line not complete in time")]
     TimedOut,
     /// Another connection has a request of this id.
-    #[error("request id in use")]
+    #[error("request id already in use")]
     RequestIdInUse,
-    /// The line names a server that holds the connection, though this process began long ago.
-    #[error("connection from before the start comes too late")]
+    /// The line names the server that holds the connection, but the time after this process's start in which such
+    /// connections are restored is over.
+    #[error("too late to restore a connection from before the node's start")]
     RestoredTooLate,
 }
 
@@ -58,38 +59,38 @@
 pub(super) struct OpenRequest {
     /// The request's id.
     pub(super) request: RequestId,
-    /// The flow, which is the key of requests that name no other.
+    /// The flow, which is the key of requests that contain no other.
     pub(super) flow: String,
-    /// The class, by its position in the settings.
+    /// The class, by its index in the settings.
     pub(super) class: usize,
     /// How long the client waits for its connection.
     pub(super) time_budget: TimeBudget,
-    /// The tenant, by its position in the settings; `None` for one that they do not name.
+    /// The tenant, by its index in the settings; `None` if the settings do not contain it.
     pub(super) tenant: Option<usize>,
-    /// Group or key, as the settings say.
+    /// The group or the key, depending on the settings.
     pub(super) subject: Option<String>,
-    /// The client connects again, after a break or a `MOVE`.
+    /// The client reconnects, after a broken connection or a `MOVE`.
     pub(super) is_reconnect: bool,
-    /// The server that holds the connection since before this process began.
+    /// The server that has held the connection since before this process started.
     pub(super) current_server: Option<String>,
     /// The expected load, in work time per second.
     pub(super) load: Option<Duration>,
 }
 
-/// How long a client waits for its connection, and where the line says so.
+/// How long a client waits for its connection, and the position of this field in the line.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct TimeBudget {
-    /// How long.
+    /// The duration.
     pub(super) duration: Duration,
-    /// The position of the digits of field `d` in the line, in bytes.
+    /// The byte range of the digits of field `d` in the line.
     pub(super) digits: Range<usize>,
 }
 
 impl FirstLine {
-    /// Parses a complete first line, its terminator included. `names` are those of the settings.
+    /// Parses a complete first line, including its terminator. `names` are those of the settings.
     ///
     /// # Errors
-    /// Where the line has no proper end or is malformed.
+    /// If the line is not properly terminated or is malformed.
     pub(super) fn parse(line: &[u8], names: SettingsNames) -> Result<FirstLine, FirstLineError> {
         let text = line
             .strip_suffix(LINE_TERMINATOR)
@@ -132,7 +133,7 @@
         })
     }
 
-    /// The request as placement takes it. `has_groups`: the subject is a group, and no key.
+    /// The request for placement. `has_groups`: the subject is a group rather than a key.
     pub(super) fn request_info(&self, has_groups: bool) -> RequestInfo {
         let subject = self.subject.clone();
         let flow = Some(self.flow.clone());
@@ -155,7 +156,7 @@
     }
 }
 
-/// The fields of an `OPEN` line as far as they are parsed; of a field that comes twice the last one holds.
+/// The fields of an `OPEN` line parsed so far; of a repeated field the last value wins.
 #[derive(Default)]
 struct OpenFields {
     class: Option<usize>,
@@ -168,7 +169,7 @@
 }
 
 impl OpenFields {
-    /// Parses `FIELD=VALUE,...`, which begins at byte `start` of the line.
+    /// Parses `FIELD=VALUE,...`, which starts at byte `start` of the line.
     fn parse(field_list: &str, start: usize, names: SettingsNames) -> Option<OpenFields> {
         let mut fields = OpenFields::default();
         let mut field_start = start;
@@ -184,7 +185,7 @@
         Some(fields)
     }
 
-    /// Sets one field; unknown ones are ignored, and `None` says that the value is malformed.
+    /// Sets one field; unknown ones are ignored. `None` if the value is malformed.
     fn set(
         &mut self,
         name: &str,
@@ -199,7 +200,7 @@
             "g" => self.subject = Some(value.to_string()),
             "again" => self.is_reconnect = value == "1",
             "at" => self.current_server = Some(value.to_string()),
-            "h" => self.load = Some(Duration::from_secs_f64(parse_figure(value)? / 1e6)),
+            "h" => self.load = Some(Duration::from_secs_f64(parse_number(value)? / 1e6)),
             _ => {}
         }
         Some(())
@@ -229,7 +230,7 @@
     u64::from_str_radix(text, 16).ok().map(RequestId)
 }
 
-/// Whether this is text without control characters, and not empty.
+/// Returns true if the text is not empty and contains no control characters.
 fn is_valid_value(text: &str) -> bool {
     !text.is_empty() && !text.chars().any(char::is_control)
 }
--- a/crates/node/src/client/listener.rs
+++ b/crates/node/src/client/listener.rs
@@ -12,23 +12,23 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// How long accepting pauses when the process has no descriptor left.
+/// How long accepting pauses when the process has no file descriptor left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// The same at the exit, when little time is left.
+/// The same pause while the process exits, when little time is left.
 const EXIT_ACCEPT_BACKOFF: Duration = Duration::from_millis(2);
 
 /// Accepts clients.
 pub(crate) struct Listener {
     acceptor: Acceptor,
-    /// Another process accepts clients from the same socket; what waits there is left to it.
+    /// Another process accepts clients from the same socket; pending connections are left to it.
     is_paused: bool,
 }
 
 impl Listener {
-    /// Listens on the configured address only, or on the socket that was inherited.
+    /// Listens on the configured address, or on the inherited socket if there is one.
     ///
     /// # Errors
-    /// Where the address cannot be bound or the socket cannot be registered.
+    /// If the address cannot be bound or the socket cannot be registered.
     pub(crate) fn new(
         context: &NodeContext,
         inherited: Option<TcpListener>,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Accepts what waits, and pauses where that fails for a moment.
+    /// Accepts pending connections, and pauses if that fails temporarily.
     fn accept_or_pause(&mut self, context: &mut NodeContext) {
         let is_exiting = context.shutdown.is_some_and(|shutdown| shutdown.has_ended);
         let max_accepts = if is_exiting {
@@ -53,10 +53,11 @@
             context.config.max_accepts_per_turn()
         };
         let outcome = self.accept_clients(context, max_accepts);
-        // What waits has been taken by the kernel for this node: the exit waits for the next attempt.
+        // The kernel has already completed the pending connections for this node, so the exit waits for the next
+        // attempt to accept them.
         context.is_accept_retry_pending = outcome.is_err();
         if let Err(error) = outcome {
-            // No descriptor is left: guards against a loop that spins on a listener that stays ready.
+            // No file descriptor is left: guards against an event loop that spins on a listener that stays ready.
             warn!(context.log, "accept failed"; "error" => %error);
             if self.acceptor.set_interest(Interest::NONE).is_ok() || is_exiting {
                 retry_later(context);
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Accepts what waits, up to `max_accepts`.
+    /// Accepts up to `max_accepts` pending connections.
     fn accept_clients(&mut self, context: &mut NodeContext, max_accepts: usize) -> io::Result<()> {
         for _ in 0..max_accepts {
             if self.is_paused && !self.acceptor.has_unregistered() {
@@ -80,7 +81,7 @@
         Ok(())
     }
 
-    /// Listens again, or pauses, as `is_paused` says.
+    /// Pauses or resumes accepting, according to `is_paused`.
     fn apply_pause(&mut self, context: &mut NodeContext) {
         let interest = Interest {
             readable: !self.is_paused,
@@ -93,8 +94,8 @@
     }
 }
 
-/// Closes the unidentified connections that expire first anyway when descriptors are needed. Guards against hundreds
-/// that connect and send nothing.
+/// Closes the unidentified connections that expire first if their file descriptors are needed. Guards against
+/// hundreds of clients that connect and send nothing.
 fn close_excess_unidentified(context: &mut NodeContext) {
     let other = context.handoff.peer_heartbeat();
     let max_unidentified = context
--- a/crates/node/src/client/mod.rs
+++ b/crates/node/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that have no server yet: the listener, the first line, and the answers to it.
+//! Client connections that have no server yet: the listener, the first line, and the answers to it.
 
 mod answer;
 mod connection;
--- a/crates/node/src/client/slot.rs
+++ b/crates/node/src/client/slot.rs
@@ -1,9 +1,9 @@
-//! The count of clients that are held with a request.
+//! Counting of clients with a request.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One client in the count of those that are held with a request; leaves the count when dropped.
+/// Counts one client with a request until it is dropped.
 pub(crate) struct ClientSlot {
     count: Rc<Cell<usize>>,
 }
--- a/crates/node/src/client/unidentified.rs
+++ b/crates/node/src/client/unidentified.rs
@@ -1,4 +1,4 @@
-//! The connections that have no request: those whose first line is still to come, and those that have their answer.
+//! Connections without a request: those whose first line is not complete, and those that have been answered.
 
 use lupincrank_reactor::ComponentId;
 use std::cell::RefCell;
@@ -6,26 +6,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An unidentified connection. Those that expire first come first.
+/// An unidentified connection. Keys are ordered by expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     expires_at: Instant,
     id: ComponentId,
 }
 
-/// All unidentified connections of the node, ordered by the moment when they expire.
+/// All unidentified connections of the node, ordered by expiry.
 #[derive(Clone, Default)]
 pub(crate) struct UnidentifiedClients {
     keys: Rc<RefCell<BTreeSet<Key>>>,
 }
 
 impl UnidentifiedClients {
-    /// How many there are.
+    /// The number of connections.
     pub(crate) fn len(&self) -> usize {
         self.keys.borrow().len()
     }
 
-    /// Whether there is none.
+    /// Returns true if there is none.
     pub(crate) fn is_empty(&self) -> bool {
         self.keys.borrow().is_empty()
     }
@@ -56,7 +56,7 @@
 }
 
 impl UnidentifiedEntry {
-    /// When the connection expires.
+    /// The time at which the connection expires.
     pub(super) fn expires_at(&self) -> Instant {
         self.key.expires_at
     }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -323,7 +323,7 @@
         if was_watching {
             warn!(context.log, "endpoint watch fell silent"; "seq" => self.version);
             clear_deadline(context, DiscoveryDeadline::SecondCall);
-            context.placement.on_watch_silent();
+            context.placement.on_watch_stalled();
             return;
         }
         // The failure is this node's own finding, so nothing has shown that nothing can be missed.
--- a/crates/node/src/placement_driver/attempts.rs
+++ b/crates/node/src/placement_driver/attempts.rs
@@ -1,4 +1,5 @@
-//! The way of a request: what the client and the attempts report, from the first line to the end of the connection.
+//! The life cycle of requests: handles the reports of clients and attempts, from the first line to the end of the
+//! connection.
 
 use super::command::{Command, Owner};
 use super::latency::load_duration;
@@ -9,25 +10,25 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The deadline of a connection that is established already: no attempt is made for it any more.
+/// The deadline of a connection that is already established: no further attempt is made for it.
 const INHERITED_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether the client still waits for its answer when an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientState {
-    /// It waits: another attempt may be made.
+    /// The client waits: another attempt may be made.
     Waiting,
-    /// It has its answer, or needs none.
+    /// The client has its answer, or needs none.
     Answered,
 }
 
 impl PlacementDriver {
-    /// Whether a request of this id is active.
+    /// Returns true if a request of this id is active.
     pub(crate) fn has_request(&self, request: RequestId) -> bool {
         self.requests.contains_key(&request)
     }
 
-    /// Sets the request's deadline and keeps it as an active one.
+    /// Sets the request's deadline and adds it to the active requests.
     fn insert_request(&mut self, owner: Owner, info: &mut RequestInfo, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         info.deadline = self.clock.timestamp(deadline);
@@ -35,7 +36,7 @@
         self.requests.insert(info.request, active);
     }
 
-    /// A request has come from a client that waits for `timeout`.
+    /// Handles a request from a client that waits for `timeout`.
     pub(crate) fn on_request(&mut self, owner: Owner, mut info: RequestInfo, timeout: Duration) {
         if self.is_shutting_down {
             return self.commands.push_back(Command::Reject {
@@ -49,16 +50,17 @@
         self.feed(Event::RequestReceived(info));
     }
 
-    /// The server could not read the request: that is its client's fault and says nothing of the server.
-    pub(crate) fn on_unreadable_request(&mut self, request: RequestId) {
+    /// Ends a request that the server could not parse: the client is at fault, which is no evidence against the
+    /// server.
+    pub(crate) fn on_malformed_request(&mut self, request: RequestId) {
         let Some(owner) = self.requests.get(&request).map(|active| active.owner) else {
             return;
         };
-        self.on_client_gone(request);
+        self.on_client_disconnected(request);
         self.commands.push_back(Command::Fail { owner });
     }
 
-    /// A connection that was established before this node began is established again.
+    /// Registers a connection that was established before this process started.
     pub(crate) fn on_inherited_connection(
         &mut self,
         owner: Owner,
@@ -75,7 +77,7 @@
         self.feed(Event::ConnectionInherited(info, server.into()));
     }
 
-    /// A connection comes from another process of this node, with its load and its unanswered lines.
+    /// Registers a connection transferred from another process of this node, with its load and its unanswered lines.
     pub(crate) fn on_transferred_connection(
         &mut self,
         owner: Owner,
@@ -97,7 +99,8 @@
         }
     }
 
-    /// What another process needs to go on with an established connection. `None` for one that is about to end.
+    /// Returns the state that another process needs to continue an established connection. `None` if the connection
+    /// is about to end.
     pub(crate) fn established_connection(
         &self,
         request: RequestId,
@@ -105,8 +108,8 @@
         self.requests.get(&request)?.established_connection()
     }
 
-    /// Whether the line of the attempt in flight may be sent: its server still takes new connections, as far as this node
-    /// has been told.
+    /// Returns true if the first line of the attempt in flight may be sent: its server still accepts new connections,
+    /// as far as this node knows.
     pub(crate) fn can_send_first_line(&mut self, request: RequestId) -> bool {
         let server = self
             .requests
@@ -120,7 +123,7 @@
         can_send
     }
 
-    /// The attempt in flight has been accepted: its connection is established.
+    /// Records that the server has accepted the attempt in flight: its connection is established.
     pub(crate) fn on_attempt_accepted(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(&request) else {
             return;
@@ -137,7 +140,7 @@
         });
     }
 
-    /// The attempt in flight has ended, or the connection; its socket is closed.
+    /// Records the end of the attempt in flight or of the connection, whose socket is already closed.
     pub(crate) fn on_attempt_ended(
         &mut self,
         request: RequestId,
@@ -164,8 +167,8 @@
         });
     }
 
-    /// The client has left before its answer; its attempt, if one is in flight, has been closed.
-    pub(crate) fn on_client_gone(&mut self, request: RequestId) {
+    /// Handles a client that disconnected before its answer; its attempt, if one is in flight, has been closed.
+    pub(crate) fn on_client_disconnected(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(&request) else {
             return;
         };
--- a/crates/node/src/placement_driver/clock.rs
+++ b/crates/node/src/placement_driver/clock.rs
@@ -1,24 +1,25 @@
-//! The clock of the placement decisions.
+//! The placement clock.
 
 use lupincrank_placement::Timestamp;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock's reading at the node's start. It is far from zero, so that moments before the start can be named too.
+/// The clock's reading at the node's start. It is far from zero so that times before the start can be represented
+/// too.
 const READING_AT_START: Duration = Duration::from_secs(1 << 22);
 
-/// To this the wall clocks of other machines are told.
+/// The resolution of wall clock times reported by other machines.
 const SYSTEM_TIME_RESOLUTION: Duration = Duration::from_secs(1);
 
-/// Turns moments of the system's clocks into timestamps of the decisions.
+/// Converts times of the system's clocks into placement timestamps.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlacementClock {
     started_at: Instant,
-    /// The wall clock at the node's start, as this machine or discovery tells it.
+    /// The wall clock time at the node's start, according to this machine or to discovery.
     started_at_system_time: SystemTime,
 }
 
 impl PlacementClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(super) fn start() -> PlacementClock {
         PlacementClock {
             started_at: Instant::now(),
@@ -26,9 +27,9 @@
         }
     }
 
-    /// Another machine's wall clock says `now`, to the second. Of two clocks the one that is behind counts: by it servers have
-    /// started later, and a server that is filled too slowly costs less than one that is overloaded in slow start. Gives
-    /// whether this machine's clock turned out to be ahead.
+    /// Corrects the wall clock by another machine's, which reads `now` with a resolution of one second. The clock
+    /// that is behind wins: by it servers have started later, and a server that is filled too slowly costs less than
+    /// one that is overloaded in slow start. Returns true if this machine's clock was ahead.
     pub(super) fn limit_system_time(&mut self, now: SystemTime) -> bool {
         let latest_now = now + SYSTEM_TIME_RESOLUTION;
         let Some(latest_start) = latest_now.checked_sub(self.elapsed()) else {
@@ -41,29 +42,29 @@
         was_ahead
     }
 
-    /// How long ago the clock was started.
+    /// The time since the clock was started.
     pub(super) fn elapsed(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The timestamp of this moment.
+    /// The current timestamp.
     pub(super) fn now(&self) -> Timestamp {
         self.timestamp(Instant::now())
     }
 
-    /// The timestamp of a moment; of one before the start it is that of the start.
-    pub(super) fn timestamp(&self, moment: Instant) -> Timestamp {
-        let since_start = moment.saturating_duration_since(self.started_at);
+    /// The timestamp of an instant; one before the clock's start gets the timestamp of the start.
+    pub(super) fn timestamp(&self, time: Instant) -> Timestamp {
+        let since_start = time.saturating_duration_since(self.started_at);
         timestamp_of(READING_AT_START + since_start)
     }
 
-    /// The timestamp of a moment in Unix time, in milliseconds; `None` for zero and for long ago.
+    /// The timestamp of a Unix time in milliseconds; `None` for zero and for times before the clock's range.
     pub(super) fn timestamp_of_unix_ms(&self, unix_ms: u64) -> Option<Timestamp> {
         if unix_ms == 0 {
             return None;
         }
-        let moment = UNIX_EPOCH.checked_add(Duration::from_millis(unix_ms))?;
-        let reading = match moment.duration_since(self.started_at_system_time) {
+        let time = UNIX_EPOCH.checked_add(Duration::from_millis(unix_ms))?;
+        let reading = match time.duration_since(self.started_at_system_time) {
             Ok(later) => READING_AT_START.saturating_add(later),
             Err(earlier) => READING_AT_START.checked_sub(earlier.duration())?,
         };
--- a/crates/node/src/placement_driver/command.rs
+++ b/crates/node/src/placement_driver/command.rs
@@ -1,26 +1,27 @@
-//! What the placement driver wants carried out.
+//! The commands that the placement driver issues.
 
 use crate::deadline::PlacementTimer;
 use lupincrank_placement::{RequestId, ServerId};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Names the component that answers a request's client. The driver hands it back with each command and never looks at it.
+/// Identifies the component that answers a request's client. The driver passes it back with each command and never
+/// interprets it.
 pub(crate) type Owner = u64;
 
-/// An attempt to be made.
+/// An attempt to start.
 pub(crate) struct AttemptOrder {
     /// The request.
     pub(crate) request: RequestId,
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub(crate) address: SocketAddr,
     /// When to stop waiting for the server's answer.
     pub(crate) deadline: Instant,
 }
 
-/// What is to be carried out.
+/// A command to be executed by a component.
 pub(crate) enum Command {
-    /// Make an attempt.
+    /// Start an attempt.
     StartAttempt {
         /// The client's component.
         owner: Owner,
@@ -31,7 +32,7 @@
     Reject {
         /// The client's component.
         owner: Owner,
-        /// How long the client is to stay away.
+        /// The time for which the client must not retry.
         retry_after: Duration,
     },
     /// End the request as failed.
@@ -39,25 +40,26 @@
         /// The client's component.
         owner: Owner,
     },
-    /// Send the client of an established connection away; it connects anew.
+    /// Ask the client of an established connection to reconnect.
     Migrate {
         /// The client's component.
         owner: Owner,
     },
-    /// Check a server's health; the result goes to [`PlacementDriver::on_health_check`](super::PlacementDriver::on_health_check).
+    /// Check a server's health; the result goes to
+    /// [`PlacementDriver::on_health_check`](super::PlacementDriver::on_health_check).
     CheckHealth {
         /// The server.
         server: ServerId,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
     },
-    /// Ask discovery for changes of the endpoint list.
+    /// Request updates of the endpoint list from discovery.
     WatchEndpoints,
     /// Call [`PlacementDriver::on_timer`](super::PlacementDriver::on_timer) later.
     SetTimer {
-        /// From now.
+        /// The delay from now.
         after: Duration,
-        /// To be handed back.
+        /// The timer to pass to that call.
         timer: PlacementTimer,
     },
 }
--- a/crates/node/src/placement_driver/endpoints.rs
+++ b/crates/node/src/placement_driver/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: where each server listens, and what administrators and earlier processes say of the servers.
+//! The endpoint list: server addresses and health, admin drains, and state learned by previous processes of this
+//! node.
 
 use super::first_list::{FirstListStarts, ListedStart, StartEvidence};
 use super::PlacementDriver;
@@ -9,51 +10,51 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime};
 
-/// A node that has just begun waits for discovery's list at the most so long before it accepts clients.
+/// A node that has just started waits at most this long for discovery's list before it accepts clients.
 const MAX_ENDPOINT_LIST_WAIT: Duration = Duration::from_secs(6);
 
 /// One entry of an endpoint list.
 pub(crate) struct ResolvedEndpoint {
-    /// What the decisions are told.
+    /// The entry as the balancer receives it.
     pub(crate) endpoint: Endpoint,
-    /// Where it listens, as this node reaches it.
+    /// The address at which this node reaches the server.
     pub(crate) address: SocketAddr,
 }
 
-/// What an endpoint list covers.
+/// The scope of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointListScope {
-    /// All servers: those that it does not name are gone.
+    /// All servers: those that the list does not contain were removed.
     Complete,
     /// The servers that have changed.
     Changes,
 }
 
-/// Where an endpoint list comes from.
+/// The source of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointListSource {
-    /// Discovery has sent it.
+    /// Discovery.
     Discovery,
-    /// The configuration holds it; it may be out of date.
+    /// The configuration; this list may be out of date.
     Cache,
 }
 
-/// Why the endpoint list lets no client in.
+/// The reason why clients cannot be accepted with the present endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum EndpointAvailabilityError {
     /// Discovery has not answered yet.
     #[error("discovery has not told the list yet")]
     NotReceived,
-    /// No server of the list takes new connections.
+    /// No server in the list accepts new connections.
     #[error("the list names no transcriber that takes connections")]
     NoneReady,
 }
 
-/// How this node reaches a server.
+/// The address and health of a server.
 pub(super) struct KnownEndpoint {
-    /// Where it listens.
+    /// The address on which it listens.
     pub(super) address: SocketAddr,
-    /// Whether it takes new connections.
+    /// Its health, which determines whether it accepts new connections.
     pub(super) health: Health,
 }
 
@@ -103,12 +104,12 @@
         }
     }
 
-    /// Discovery has answered: what has changed since the known list comes with that.
+    /// Records that discovery has answered: the answer carries all changes since the known list.
     pub(crate) fn on_discovery_answer(&mut self) {
         self.has_discovery_answered = true;
     }
 
-    /// Discovery has told its wall clock, to the second.
+    /// Handles the wall clock time that discovery reports, which has a resolution of one second.
     pub(crate) fn on_discovery_date(&mut self, date: SystemTime) {
         self.start_evidence = StartEvidence::Corroborated;
         self.start_times.begin_first_list(None);
@@ -118,9 +119,9 @@
         }
     }
 
-    /// Discovery's first list is about to be resolved; `listed` are the starts of its servers. Without a date of
-    /// discovery's, or a process before this one that knew the servers, nothing but the list itself can contradict this
-    /// machine's wall clock.
+    /// Checks this machine's wall clock before the start times of discovery's first list are resolved; `listed` are
+    /// the start times of its servers. If discovery sent no date, and no previous process of this node has passed on
+    /// what it learned of the servers, only the list itself can contradict the wall clock.
     pub(crate) fn on_first_list(
         &mut self,
         listed: impl Iterator<Item = ListedStart>,
@@ -142,30 +143,30 @@
         for start in listed {
             starts.set(start);
         }
-        let suspected_present_ms =
-            starts.suspected_present_ms(&self.clock, self.slow_start_duration);
-        if let Some(latest_ms) = suspected_present_ms {
-            warn!(self.log, "wall clock in doubt, latest starts count as just now"; "latest_start_ms" => latest_ms);
+        let suspected_now_ms = starts.suspected_now_ms(&self.clock, self.slow_start_duration);
+        if let Some(latest_ms) = suspected_now_ms {
+            warn!(self.log, "wall clock may be ahead, treating latest server starts as recent"; "latest_start_ms" => latest_ms);
         }
-        self.start_times.begin_first_list(suspected_present_ms);
+        self.start_times.begin_first_list(suspected_now_ms);
     }
 
-    /// The watch has fallen silent.
-    pub(crate) fn on_watch_silent(&mut self) {
+    /// Handles a discovery watch that has stalled.
+    pub(crate) fn on_watch_stalled(&mut self) {
         self.feed(Event::EndpointWatchStalled);
     }
 
-    /// A call to discovery failed or the watch broke.
+    /// Handles a failed call to discovery or a broken watch.
     pub(crate) fn on_watch_failed(&mut self) {
         self.feed(Event::EndpointWatchFailed);
     }
 
-    /// Whether clients may be accepted: some server takes new connections, by a list that discovery has sent.
-    /// Guards against a node that starts in the middle of a release and sends its clients to servers that have long been
-    /// replaced, though other nodes know better. With no answer from discovery the known list has to do.
+    /// Returns `Ok` if clients may be accepted: discovery has answered, and a server accepts new connections. Guards
+    /// against a node that starts during a rolling deployment and sends its clients to servers that were replaced
+    /// long ago, although other nodes have a newer list. If discovery does not answer in time, the known list is
+    /// used.
     ///
     /// # Errors
-    /// Says what is missing.
+    /// The reason why clients cannot be accepted.
     pub(crate) fn check_endpoint_list(&self) -> Result<(), EndpointAvailabilityError> {
         if !self.has_discovery_answered && self.clock.elapsed() <= MAX_ENDPOINT_LIST_WAIT {
             return Err(EndpointAvailabilityError::NotReceived);
@@ -176,7 +177,7 @@
         Ok(())
     }
 
-    /// The servers that take new connections, by the endpoint list.
+    /// The servers that accept new connections according to the endpoint list.
     fn ready_servers(&self) -> impl Iterator<Item = &ServerId> {
         self.endpoints
             .iter()
@@ -184,13 +185,13 @@
             .map(|(server, _)| server)
     }
 
-    /// Whether there are servers that take new connections, and all of them are among these.
+    /// Returns true if there are ready servers and `drained` contains all of them.
     fn are_all_ready_servers_in(&self, drained: &BTreeSet<ServerId>) -> bool {
         let mut ready = self.ready_servers().peekable();
         ready.peek().is_some() && ready.all(|server| drained.contains(server))
     }
 
-    /// Whether the server takes new connections: it is ready, and no administrator has drained it.
+    /// Returns true if the server accepts new connections: it is ready, and no administrator has drained it.
     pub(super) fn accepts_connections(&self, server: &ServerId) -> bool {
         let is_ready = self
             .endpoints
@@ -199,7 +200,7 @@
         is_ready && !self.drained_servers().contains(server)
     }
 
-    /// Where a server listens, if it takes new connections.
+    /// The address on which a server listens, if it accepts new connections.
     pub(crate) fn available_address(&self, server: &str) -> Option<SocketAddr> {
         let server = ServerId::from(server);
         if !self.accepts_connections(&server) {
@@ -213,12 +214,12 @@
         self.balancer.admin_drain().drained()
     }
 
-    /// Whether a server of this id is listed or drained by an administrator.
+    /// Returns true if a server of this id is in the endpoint list or drained by an administrator.
     pub(crate) fn knows_server(&self, server: &ServerId) -> bool {
         self.balancer.admin_drain().knows(server)
     }
 
-    /// From now on exactly these servers are drained by administrators.
+    /// Replaces the set of servers that administrators have drained.
     pub(crate) fn set_drained_servers(&mut self, drained: BTreeSet<ServerId>) {
         if drained == *self.drained_servers() {
             return;
@@ -231,7 +232,7 @@
         self.feed(Event::AdminDrain(drained));
     }
 
-    /// A server's health check has passed or failed; with its load report, if one came.
+    /// Handles the result of a server's health check, with its load report, if there is one.
     pub(crate) fn on_health_check(
         &mut self,
         server: &ServerId,
@@ -245,12 +246,12 @@
         });
     }
 
-    /// What was learned of the servers, for the process that takes this one's place.
+    /// Returns what was learned about the servers, for the process that replaces this one.
     pub(crate) fn learned_servers(&self) -> Vec<LearnedServer> {
         self.balancer.learned_state(self.now())
     }
 
-    /// Takes over what the process before this one has learned of the servers.
+    /// Imports what the previous process of this node has learned about the servers.
     pub(crate) fn import_learned_servers(&mut self, learned: Vec<LearnedServer>) {
         let ejected = learned
             .iter()
@@ -265,8 +266,8 @@
         self.feed(Event::LearnedState(learned));
     }
 
-    /// When a server started that is listed with this moment of Unix time; `None` for long ago. `not_listed_at` is when
-    /// discovery was last heard of without it; `None` for the first list.
+    /// Resolves the start time of a server that is listed with this Unix time; `None` for long ago. `not_listed_at`
+    /// is the time of discovery's last report without this start; `None` for the first list.
     pub(crate) fn start_time(
         &mut self,
         server: &ServerId,
--- a/crates/node/src/placement_driver/first_list.rs
+++ b/crates/node/src/placement_driver/first_list.rs
@@ -1,31 +1,31 @@
-//! What the first list of discovery alone tells of this machine's wall clock.
+//! Detection of a fast wall clock from discovery's first endpoint list alone.
 //!
-//! The list holds starts in Unix time. A clock that is ahead makes servers that have just started look old, and such a list is
-//! the same as one of old servers that started together. Servers whose age is in doubt are taken for young ones: a slow start
-//! too many costs less than a server that falls.
+//! The list holds start times in Unix time. On a machine whose clock is ahead, servers that have just started look
+//! old, and such a list looks the same as one of old servers that started together. Servers whose age is in doubt are
+//! treated as recently started: an unnecessary slow start costs less than a server that fails from overload.
 
 use super::clock::PlacementClock;
 use lupincrank_placement::{Health, ServerId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// At the most this part of the ready servers is taken for young on doubt. The others then get one and a half times their
-/// usual load, which they are taken to carry.
-const MAX_DOUBTED_RATIO: f64 = 1.0 / 3.0;
+/// The maximum fraction of the ready servers that may be treated as recently started on suspicion. The other servers
+/// then receive one and a half times their usual load, which they are assumed to have capacity for.
+const MAX_SUSPECT_RATIO: f64 = 1.0 / 3.0;
 
-/// What tells how long ago the servers of discovery's first list started.
+/// The evidence for how long ago the servers of discovery's first list started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartEvidence {
     /// This machine's wall clock alone.
     WallClock,
-    /// Discovery's clock too, or a process before this one.
+    /// Also discovery's clock, or the previous process of this node.
     Corroborated,
 }
 
-/// When a server of the list started.
+/// The start time of a server in the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedStart {
-    /// Which server.
+    /// The server.
     pub(crate) server: ServerId,
     /// Its health.
     pub(crate) health: Health,
@@ -33,14 +33,14 @@
     pub(crate) started_at_ms: u64,
 }
 
-/// The servers of a first list that are ready, with their starts in milliseconds of Unix time; 0 for long ago.
+/// The ready servers of a first list, with their start times in milliseconds of Unix time; 0 for long ago.
 #[derive(Debug, Default)]
 pub(super) struct FirstListStarts {
     ready: BTreeMap<ServerId, u64>,
 }
 
 impl FirstListStarts {
-    /// Adds a server of the list, or what the list says anew of one.
+    /// Adds a server of the list, or updates it.
     pub(super) fn set(&mut self, start: ListedStart) {
         if start.health == Health::Ready {
             self.ready.insert(start.server, start.started_at_ms);
@@ -49,10 +49,10 @@
         }
     }
 
-    /// The latest start, where it may have been just now though this machine's clock tells that slow start is over. `None`
-    /// where the clock shows servers in slow start, so that it is ahead by less than that takes, or where too large a part of
-    /// the servers would be in doubt.
-    pub(super) fn suspected_present_ms(
+    /// Returns the latest start time, as the suspected current time, if that start may have been just now although
+    /// this machine's clock shows all slow starts as over. `None` if the clock shows servers in slow start (it is
+    /// then ahead by less than the slow-start duration), or if too large a fraction of the servers would be suspect.
+    pub(super) fn suspected_now_ms(
         &self,
         clock: &PlacementClock,
         slow_start_duration: Duration,
@@ -65,10 +65,10 @@
         if age < slow_start_duration {
             return None;
         }
-        let is_doubted = |ms: &&u64| Duration::from_millis(latest_ms - **ms) < slow_start_duration;
-        let doubted = self.ready.values().filter(is_doubted).count();
-        let max_doubted = self.ready.len() as f64 * MAX_DOUBTED_RATIO;
-        (doubted as f64 <= max_doubted).then_some(latest_ms)
+        let is_suspect = |ms: &&u64| Duration::from_millis(latest_ms - **ms) < slow_start_duration;
+        let suspect_count = self.ready.values().filter(is_suspect).count();
+        let max_suspects = self.ready.len() as f64 * MAX_SUSPECT_RATIO;
+        (suspect_count as f64 <= max_suspects).then_some(latest_ms)
     }
 }
 
--- a/crates/node/src/placement_driver/first_list/tests.rs
+++ b/crates/node/src/placement_driver/first_list/tests.rs
@@ -21,32 +21,32 @@
 /// Ages are by this machine's clock, in seconds.
 #[rstest]
 #[case::none_started_lately(&[], 5, false)]
-#[case::one_may_be_young(&[3_600], 2, true)]
+#[case::one_may_have_just_started(&[3_600], 2, true)]
 #[case::the_clock_shows_slow_start(&[3, 3_600], 5, false)]
 #[case::a_third_started_together(&[3_600, 3_601], 4, true)]
 #[case::more_than_a_third_started_together(&[3_600, 3_601, 3_602], 4, false)]
 #[case::others_started_earlier(&[3_600, 7_200, 7_201], 0, true)]
-fn the_latest_starts_are_in_doubt_where_few_servers_are(
+fn latest_starts_are_suspect_only_if_they_are_few(
     #[case] ages_seconds: &[u64],
     #[case] long_ago: usize,
-    #[case] is_in_doubt: bool,
+    #[case] is_clock_suspected: bool,
 ) {
-    let young = ages_seconds.iter().map(|age| unix_ms_before(*age));
+    let listed = ages_seconds.iter().map(|age| unix_ms_before(*age));
     let old = std::iter::repeat_n(LONG_AGO_MS, long_ago);
     let mut starts = FirstListStarts::default();
-    for (number, started_at_ms) in young.chain(old).enumerate() {
+    for (number, started_at_ms) in listed.chain(old).enumerate() {
         starts.set(listed_start(number, Health::Ready, started_at_ms));
     }
-    let suspected = starts.suspected_present_ms(&PlacementClock::start(), SLOW_START);
-    assert_eq!(suspected.is_some(), is_in_doubt);
+    let suspected = starts.suspected_now_ms(&PlacementClock::start(), SLOW_START);
+    assert_eq!(suspected.is_some(), is_clock_suspected);
 }
 
 #[test]
-fn servers_that_drain_tell_nothing() {
+fn draining_servers_are_ignored() {
     let mut starts = FirstListStarts::default();
     starts.set(listed_start(0, Health::Draining, unix_ms_before(3_600)));
     starts.set(listed_start(1, Health::Ready, LONG_AGO_MS));
     starts.set(listed_start(2, Health::Ready, LONG_AGO_MS));
     let clock = PlacementClock::start();
-    assert_eq!(starts.suspected_present_ms(&clock, SLOW_START), None);
+    assert_eq!(starts.suspected_now_ms(&clock, SLOW_START), None);
 }
--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -1,4 +1,5 @@
-//! What the lines of established connections tell of their servers: how long messages take, and who answers nobody.
+//! Message latency of servers, measured on the lines of established connections, and detection of unresponsive
+//! servers.
 
 use super::request::{hex_id, ActiveRequest};
 use super::PlacementDriver;
@@ -8,51 +9,51 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// A server's delay is reported at most this often.
+/// The minimum time between two delay reports of a server.
 const DELAY_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection whose line has been unanswered for this long is reported by itself: sound servers return lines at once.
+/// A connection whose line has been unanswered for this long is reported individually: healthy servers reply at once.
 const UNRESPONSIVE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// A server that has returned nothing since so many of its connections forwarded their lines, and for so long, answers
-/// nobody.
+/// A server is unresponsive if at least this many of its connections forwarded a line after the server's last reply
+/// and have waited [`UNRESPONSIVE_SERVER_TIMEOUT`] for an answer.
 const MIN_UNANSWERED_CONNECTIONS: usize = 2;
 const UNRESPONSIVE_SERVER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Servers are believed to be unresponsive only if they are at most one in this many of those in use: of more it is this
-/// node that is cut off.
+/// If more than one in this many of the servers in use seem unresponsive, none of them is reported: this node itself
+/// is then cut off.
 const MAX_UNRESPONSIVE_DIVISOR: usize = 2;
-/// A delay over this part of the shortest message objective is slow.
+/// A delay over this fraction of the shortest message objective is slow.
 const SLOW_DELAY_DIVISOR: u32 = 3;
 
-/// Microseconds in a second: the unit of reported loads.
-const MICROSECONDS: f64 = 1e6;
+/// Loads are reported in microseconds of work per second.
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// A load in microseconds of work a second, as the decisions take it.
+/// Converts a load from microseconds of work per second.
 pub(super) fn load_duration(load: f64) -> Duration {
-    Duration::from_secs_f64(load / MICROSECONDS)
+    Duration::from_secs_f64(load / MICROSECONDS_PER_SECOND)
 }
 
-/// What the connections of one server tell of its latency.
+/// The latency of one server as its connections measure it.
 #[derive(Default)]
 pub(super) struct UpstreamLatency {
-    /// Delays of the lines that came back since the last report.
+    /// Reply delays since the last report.
     delays: Vec<Duration>,
-    /// By how much set-ups since then took longer than usual, where that was much.
+    /// The queueing times of slow setups since the last report.
     setup_waits: Vec<Duration>,
     last_reported_at: Option<Instant>,
-    /// When a line last came back.
+    /// When the server last replied to a line.
     last_answered_at: Option<Instant>,
-    /// Whether its silence since then has been reported.
+    /// Whether its unresponsiveness since that reply has been reported.
     is_unresponsive: bool,
-    /// Whether the last report said that messages take long.
+    /// Whether the delay was slow in the last report.
     is_slow: bool,
 }
 
-/// How long an established connection has waited for an answer.
+/// The age of the oldest unanswered line of an established connection.
 struct UnansweredLine {
     request: RequestId,
     age: Duration,
 }
 
-/// What a check of the unanswered lines has found.
+/// The results of a check of the unanswered lines.
 #[derive(Default)]
 struct Findings {
     delays: Vec<(RequestId, Duration)>,
@@ -66,33 +67,33 @@
 }
 
 impl UpstreamLatency {
-    /// A line has come back after this delay.
+    /// Records the delay of a reply.
     fn record_answer(&mut self, delay: Duration, now: Instant) {
         self.last_answered_at = Some(now);
         self.is_unresponsive = false;
         self.delays.push(delay);
     }
 
-    /// A set-up waited for others.
+    /// Records the queueing time of a slow setup.
     fn record_setup_wait(&mut self, wait: Duration) {
         self.setup_waits.push(wait);
     }
 
-    /// Whether the server has answered nobody for a while, and that was not reported yet.
+    /// Returns true if the server has been unresponsive for a while and this has not been reported yet.
     fn has_become_unresponsive(&self, lines: &[UnansweredLine], now: Instant) -> bool {
-        let answered_ago = self
+        let since_last_answer = self
             .last_answered_at
             .map_or(Duration::MAX, |answered_at| now - answered_at);
         let overdue = lines
             .iter()
-            .filter(|line| line.age >= UNRESPONSIVE_SERVER_TIMEOUT && line.age < answered_ago)
+            .filter(|line| line.age >= UNRESPONSIVE_SERVER_TIMEOUT && line.age < since_last_answer)
             .count();
         overdue >= MIN_UNANSWERED_CONNECTIONS && !self.is_unresponsive
     }
 
-    /// The delay that most connections see, if it is time for a report: while it is slow, and once when it is back.
-    /// What has not come back yet counts with its age: guards against a server that answers nothing and so never shows
-    /// a delay.
+    /// Returns the median delay if a report is due: while the delay is slow, and once after it has recovered.
+    /// Unanswered lines count with their age: guards against a server that answers nothing and so never shows a
+    /// delay.
     fn delay_to_report(
         &mut self,
         lines: &[UnansweredLine],
@@ -141,7 +142,8 @@
 }
 
 impl PlacementDriver {
-    /// A server has reported this number for an established connection: see [`LoadReports`](crate::load_report::LoadReports).
+    /// Handles the number in a `LOAD` line of an established connection: see
+    /// [`LoadReports`](crate::load_report::LoadReports).
     pub(crate) fn on_load_report(&mut self, request: RequestId, value: f64) {
         let slow_delay = self.slow_delay();
         let Some(active) = self.requests.get_mut(&request) else {
@@ -174,15 +176,15 @@
         });
     }
 
-    /// A line of the client is forwarded to its server.
+    /// Records that a line of the client was forwarded to its server.
     pub(crate) fn on_line_sent(&mut self, request: RequestId) {
         if let Some(active) = self.requests.get_mut(&request) {
             active.push_line();
         }
     }
 
-    /// A line has come back.
-    pub(crate) fn on_line_returned(&mut self, request: RequestId) {
+    /// Records a server's reply to a line.
+    pub(crate) fn on_reply_received(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(&request) else {
             return;
         };
@@ -201,21 +203,22 @@
         }
     }
 
-    /// When the oldest line of the client was forwarded that nothing has come back for.
+    /// When the oldest unanswered line of the client was forwarded.
     pub(crate) fn oldest_unanswered_line(&self, request: RequestId) -> Option<Instant> {
         self.requests.get(&request)?.oldest_unanswered_line()
     }
 
-    /// A connection was established at this server in this time.
-    pub(super) fn record_setup(&mut self, server: Option<ServerId>, took: Duration) {
-        let wait = self.setup_times.record(took);
+    /// Records the setup time of a connection that was established at this server.
+    pub(super) fn record_setup(&mut self, server: Option<ServerId>, setup_duration: Duration) {
+        let wait = self.setup_times.record(setup_duration);
         if let (Some(server), Some(wait)) = (server, wait) {
             let latency = self.latencies.entry(server).or_default();
             latency.record_setup_wait(wait);
         }
     }
 
-    /// Tells the decisions what the unanswered lines of established connections say of each server.
+    /// Reports delays, unresponsive servers and unresponsive connections, found from the unanswered lines of
+    /// established connections, to the balancer.
     pub(crate) fn check_unanswered_lines(&mut self) {
         let findings = self.find_unanswered_lines(Instant::now());
         for server in findings.unresponsive_servers {
@@ -258,7 +261,7 @@
 }
 
 impl Findings {
-    /// Adds what the connections of one server say.
+    /// Adds the results of one server's connections.
     fn add(
         &mut self,
         server: &ServerId,
@@ -276,7 +279,7 @@
             self.unresponsive_servers.push(server.clone());
         }
         if let Some(delay) = latency.delay_to_report(lines, now, slow_delay) {
-            // One of its connections stands for all of them.
+            // One of the server's connections represents all of them.
             let request = lines.iter().map(|line| line.request).min();
             self.delays.extend(request.map(|request| (request, delay)));
         }
--- a/crates/node/src/placement_driver/mod.rs
+++ b/crates/node/src/placement_driver/mod.rs
@@ -1,6 +1,6 @@
-//! Drives the placement decisions: turns what clients, attempts, discovery and timers report into events of the
-//! [`Balancer`], and its actions into commands for the components. It owns the active requests and knows no syntax:
-//! another protocol can come through here with the same decisions.
+//! Connects the [`Balancer`] to the rest of the node: converts reports from clients, attempts, discovery and timers
+//! into its events, and its actions into commands for the components. This module owns the active requests and is
+//! independent of the wire protocol, so that another protocol can use the same placement.
 
 mod attempts;
 mod clock;
@@ -38,7 +38,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// The placement decisions of this node with what they are about.
+/// The placement of this node with the requests and servers that it covers.
 pub(crate) struct PlacementDriver {
     commands: VecDeque<Command>,
     balancer: Balancer,
@@ -48,28 +48,28 @@
     requests: HashMap<RequestId, ActiveRequest>,
     endpoints: HashMap<ServerId, KnownEndpoint>,
     start_times: StartTimes,
-    /// Whether discovery has answered since this process began.
+    /// Whether discovery has answered since this process started.
     has_discovery_answered: bool,
     start_evidence: StartEvidence,
     slow_start_duration: Duration,
     latencies: BTreeMap<ServerId, UpstreamLatency>,
     setup_times: SetupTimes,
-    /// The shortest latency objective of messages, by the settings.
+    /// The shortest message latency objective in the settings.
     min_message_objective: Duration,
-    /// What a client that comes during the shutdown is told to wait.
+    /// The retry delay sent to clients that send a request during shutdown.
     shutdown_retry_after: Duration,
     is_shutting_down: bool,
     slow_start_lease: Option<SlowStartLease>,
     /// Processes of this node that accept clients.
     process_count: u32,
-    /// Timers set so far.
+    /// The number of timers set so far.
     timer_count: u64,
     log: Logger,
 }
 
 impl PlacementDriver {
-    /// The decisions as they begin. What they see and decide of single requests goes to `log` as debug lines, from
-    /// which the state of a whole fleet can be added up: see `docs/operators/many-nodes.md`.
+    /// Creates the driver. What it observes and decides for each request is logged to `log` at debug level; the state
+    /// of a whole fleet can be computed from these lines: see `docs/operators/many-nodes.md`.
     pub(crate) fn new(config: &Config, log: Logger) -> PlacementDriver {
         let settings = &config.settings;
         PlacementDriver {
@@ -95,27 +95,27 @@
         }
     }
 
-    /// Begins discovery and upkeep.
+    /// Starts discovery and upkeep.
     pub(crate) fn start(&mut self) {
         self.feed(Event::Start);
     }
 
-    /// Now, on the decisions' clock.
+    /// The current time on the placement clock.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The next command to be carried out.
+    /// Returns the next command to execute.
     pub(crate) fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// A timer has fired.
+    /// Handles a timer that has fired.
     pub(crate) fn on_timer(&mut self, timer: PlacementTimer) {
         self.feed(Event::TimerFired(timer.kind));
     }
 
-    /// Tells the decisions an event and carries out what they say.
+    /// Passes an event to the balancer and executes the resulting actions.
     fn feed(&mut self, event: Event) {
         self.balancer
             .handle(self.clock.now(), event, &mut self.actions);
@@ -140,7 +140,7 @@
             Action::SetTimer { after, timer } => self.set_timer(after, timer),
             Action::WatchEndpoints => self.commands.push_back(Command::WatchEndpoints),
             Action::CheckHealth(server) => self.check_health(server),
-            // The protocol of this deployment has no gossip between nodes.
+            // This deployment's protocol has no gossip between nodes.
             Action::Gossip(_) => {}
         }
     }
@@ -155,7 +155,7 @@
         let deadline = active.deadline.min(active.attempt_started_at + timeout);
         let owner = active.owner;
         let Some(address) = address else {
-            // The list names the server, so it has an address; if not, nothing was sent.
+            // A server in the endpoint list always has an address; if this one had none, nothing was sent.
             return self.on_attempt_ended(request, Outcome::NotSent, ClientState::Waiting);
         };
         let attempt = AttemptOrder {
--- a/crates/node/src/placement_driver/request.rs
+++ b/crates/node/src/placement_driver/request.rs
@@ -6,68 +6,69 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// How many lines of one connection are remembered while nothing comes back for them. Guards against a client that sends
-/// without end to a server that takes it and returns nothing.
+/// The maximum number of unanswered lines recorded for a connection. Guards against a client that sends without end
+/// to a server that accepts all of it and replies to nothing.
 const MAX_UNANSWERED_LINES: usize = 256;
 
-/// A request's id as the protocol writes it.
+/// Formats a request id as on the wire.
 pub(crate) fn hex_id(request: RequestId) -> String {
     format!("{:016x}", request.0)
 }
 
-/// How far a request is.
+/// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestPhase {
-    /// Its client waits for the answer.
+    /// The client waits for the answer.
     Waiting,
-    /// Its client has left before the answer.
+    /// The client disconnected before the answer.
     Abandoned,
-    /// Its connection is established.
+    /// The connection is established.
     Established,
-    /// Its connection is established and about to end: the client was told to migrate or has left.
+    /// The connection is established and about to end: the client was asked to reconnect or has disconnected.
     Closing,
 }
 
 /// A request that has not ended.
 pub(super) struct ActiveRequest {
-    /// The component that answers its client.
+    /// The component that answers the client.
     pub(super) owner: Owner,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub(super) deadline: Instant,
-    /// The attempts made so far.
+    /// The number of attempts so far.
     pub(super) attempt_count: u32,
     /// The server of the attempt in flight or of the established connection.
     pub(super) server: Option<ServerId>,
-    /// When the latest attempt began.
+    /// When the latest attempt started.
     pub(super) attempt_started_at: Instant,
-    /// Whether the latest attempt's line was released for sending: from then on it may have been executed.
+    /// Whether the latest attempt was allowed to send its first line: from then on the request may have been
+    /// executed.
     pub(super) was_sent: bool,
-    /// How far it is.
+    /// The request's phase.
     pub(super) phase: RequestPhase,
-    /// As it came.
+    /// The request as received.
     pub(super) info: RequestInfo,
-    /// Its load as last reported, in microseconds of work a second.
+    /// The load as last reported, in microseconds of work per second.
     pub(super) load: Option<f64>,
-    /// When each line of the client was forwarded that nothing has come back for yet.
+    /// When each unanswered line of the client was forwarded, oldest first.
     unanswered_lines: VecDeque<Instant>,
-    /// Tells loads and delays among the numbers that its server reports.
+    /// Distinguishes loads from delays in the numbers that the server reports.
     pub(super) load_reports: LoadReports,
 }
 
-/// What an established connection needs to go on in another process of this node.
+/// The state that another process of this node needs to continue an established connection.
 pub(crate) struct EstablishedConnection<'a> {
-    /// Its request.
+    /// The request.
     pub(crate) request: &'a RequestInfo,
-    /// Its server.
+    /// The server.
     pub(crate) server: &'a ServerId,
-    /// Its load as last reported, in microseconds of work a second.
+    /// The load as last reported, in microseconds of work per second.
     pub(crate) load: Option<f64>,
-    /// When each line of the client was forwarded that nothing has come back for yet.
+    /// When each unanswered line of the client was forwarded, oldest first.
     pub(crate) unanswered_lines: &'a VecDeque<Instant>,
 }
 
 impl ActiveRequest {
-    /// A request whose client waits until the deadline.
+    /// Creates a request whose client waits until the deadline.
     pub(super) fn new(owner: Owner, info: RequestInfo, deadline: Instant) -> ActiveRequest {
         ActiveRequest {
             owner,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Whether its connection is established, be it about to end.
+    /// Returns true if the connection is established, even if it is about to end.
     pub(super) fn has_connection(&self) -> bool {
         matches!(
             self.phase,
@@ -92,7 +93,7 @@
         )
     }
 
-    /// Whether nobody waits for it any more.
+    /// Returns true if the client has disconnected or was asked to reconnect.
     pub(super) fn is_finished(&self) -> bool {
         matches!(self.phase, RequestPhase::Abandoned | RequestPhase::Closing)
     }
@@ -102,7 +103,7 @@
         self.attempt_count.saturating_sub(1)
     }
 
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub(super) fn start_attempt(&mut self, server: ServerId) {
         self.attempt_count += 1;
         self.server = Some(server);
@@ -110,7 +111,7 @@
         self.was_sent = false;
     }
 
-    /// The attempt in flight has been accepted.
+    /// Records that the attempt in flight was accepted.
     pub(super) fn establish(&mut self) {
         self.phase = if self.is_finished() {
             RequestPhase::Closing
@@ -119,7 +120,7 @@
         };
     }
 
-    /// Nobody waits for it any more.
+    /// Records that the client has disconnected or was asked to reconnect.
     pub(super) fn finish(&mut self) {
         self.phase = if self.has_connection() {
             RequestPhase::Closing
@@ -128,7 +129,7 @@
         };
     }
 
-    /// The attempt in flight or the connection has ended.
+    /// Records the end of the attempt in flight or of the connection.
     pub(super) fn end_attempt(&mut self) {
         self.server = None;
         self.phase = if self.is_finished() {
@@ -139,37 +140,38 @@
         self.unanswered_lines.clear();
     }
 
-    /// A line of the client is forwarded.
+    /// Records that a line of the client was forwarded.
     pub(super) fn push_line(&mut self) {
         if self.unanswered_lines.len() < MAX_UNANSWERED_LINES {
             self.unanswered_lines.push_back(Instant::now());
         }
     }
 
-    /// A line has come back; when the line that it answers was forwarded.
+    /// Records a reply. Returns when the line that it answers was forwarded.
     pub(super) fn pop_line(&mut self) -> Option<Instant> {
         self.unanswered_lines.pop_front()
     }
 
-    /// When the oldest line was forwarded that nothing has come back for.
+    /// When the oldest unanswered line was forwarded.
     pub(super) fn oldest_unanswered_line(&self) -> Option<Instant> {
         self.unanswered_lines.front().copied()
     }
 
-    /// How long the oldest unanswered line has waited; zero without one.
+    /// The age of the oldest unanswered line; zero if there is none.
     pub(super) fn unanswered_for(&self, now: Instant) -> Duration {
         self.oldest_unanswered_line()
             .map_or(Duration::ZERO, |sent_at| now - sent_at)
     }
 
-    /// Goes on where another process left off.
+    /// Continues with the state of another process.
     pub(super) fn resume(&mut self, load: Option<f64>, unanswered_lines: VecDeque<Instant>) {
         self.load = load;
         self.unanswered_lines = unanswered_lines;
         self.unanswered_lines.truncate(MAX_UNANSWERED_LINES);
     }
 
-    /// What another process needs to go on with the connection; `None` where there is none, or it is about to end.
+    /// The state that another process needs to continue the connection; `None` if there is none, or it is about to
+    /// end.
     pub(super) fn established_connection(&self) -> Option<EstablishedConnection<'_>> {
         if self.phase != RequestPhase::Established {
             return None;
--- a/crates/node/src/placement_driver/settings.rs
+++ b/crates/node/src/placement_driver/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the node runs, and this node's share of what is divided among nodes.
+//! Settings that change at run time, and this node's share of budgets that are divided among nodes.
 
 use super::PlacementDriver;
 use crate::config::Config;
@@ -7,27 +7,28 @@
 use slog::debug;
 use std::time::Duration;
 
-/// The longest retry delay that a node sends while it shuts down: by then the front sends clients elsewhere.
+/// The longest retry delay that a node sends during shutdown: by then the front sends clients to other nodes.
 const MAX_SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a client that comes during the shutdown is told to wait, as far as the settings allow.
+/// The retry delay for requests received during shutdown, limited by the settings.
 pub(super) fn shutdown_retry_after(settings: &Settings) -> Duration {
     MAX_SHUTDOWN_RETRY_AFTER.min(settings.max_retry_after)
 }
 
 impl PlacementDriver {
-    /// Applies other settings. `previous_positions`: for each class its position before, if it was there.
+    /// Applies new settings. `previous_class_indices` holds the previous index of each class, if the class existed
+    /// before.
     pub(crate) fn apply_settings(
         &mut self,
         config: &Config,
-        previous_positions: Vec<Option<usize>>,
+        previous_class_indices: Vec<Option<usize>>,
     ) {
         for active in self.requests.values_mut() {
-            let position = previous_positions
+            let index = previous_class_indices
                 .iter()
                 .position(|previous| *previous == Some(active.info.class));
-            // A class that is not there any more: what is established needs none.
-            active.info.class = position.unwrap_or(usize::MAX);
+            // A class that was removed from the settings: established connections need none.
+            active.info.class = index.unwrap_or(usize::MAX);
         }
         let settings = &config.settings;
         self.min_message_objective = settings.min_message_objective();
@@ -38,23 +39,24 @@
                 node_count: settings.node_count.saturating_mul(self.process_count),
                 ..settings.clone()
             },
-            previous_class_indices: previous_positions,
+            previous_class_indices,
         });
     }
 
-    /// So many processes of this node accept clients: what is divided among nodes is divided among these too.
+    /// Sets the number of processes of this node that accept clients: budgets that are divided among nodes are
+    /// further divided among these.
     pub(crate) fn set_process_count(&mut self, config: &Config, process_count: u32) {
         if process_count == self.process_count {
             return;
         }
         self.process_count = process_count;
         debug!(self.log, "node budgets divided"; "processes" => process_count);
-        let unchanged_positions = (0..config.classes.len()).map(Some).collect();
-        self.apply_settings(config, unchanged_positions);
+        let unchanged_indices = (0..config.classes.len()).map(Some).collect();
+        self.apply_settings(config, unchanged_indices);
     }
 
-    /// What this node may send to servers that warm up, by the cluster's agreement: `limit` new connections in any window
-    /// until the lease expires, and `floor` without a lease.
+    /// Sets the limits that the cluster agreed on for new connections of this node to servers that are warming up:
+    /// `limit` in any accounting window until the lease expires, and `floor` without a lease.
     pub(crate) fn set_slow_start_lease(
         &mut self,
         limit: u32,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// What was used of the slow-start lease since the last call.
+    /// Returns the usage of the slow-start lease since the last call.
     pub(crate) fn take_slow_start_usage(&mut self) -> SlowStartUsage {
         self.balancer.take_slow_start_usage()
     }
--- a/crates/node/src/placement_driver/setup_times.rs
+++ b/crates/node/src/placement_driver/setup_times.rs
@@ -1,41 +1,40 @@
-//! How long connections take to be established, and which of them had to wait for others.
+//! Setup times of connections, and detection of setups that had to queue at their server.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A set-up that takes this multiple of the usual time has waited.
+/// A setup that takes longer than this multiple of the median has queued.
 const SLOW_SETUP_RATIO: u32 = 3;
-/// How many of the latest set-ups the usual time is taken from.
+/// The number of latest setups that the median is taken from.
 const MAX_SETUPS: usize = 63;
-/// With fewer set-ups than this none is usual yet.
+/// With fewer setups than this there is no median yet.
 const MIN_SETUPS: usize = 8;
 
-/// The latest set-up times, at whatever server.
+/// The latest setup times, over all servers.
 #[derive(Debug, Default)]
 pub(super) struct SetupTimes {
     latest: VecDeque<Duration>,
 }
 
 impl SetupTimes {
-    /// Records a set-up, and gives what it waited for others if it took much longer than usual: its first line is a
-    /// message too, and the one that waits its turn even where a server returns the lines of established connections
-    /// at once.
-    pub(super) fn record(&mut self, took: Duration) -> Option<Duration> {
-        let usual = self.usual();
-        self.latest.push_back(took);
+    /// Records a setup time. Returns by how much it exceeded the median if it was far above it: the first line is a
+    /// message too, and it has to queue even at a server that answers the lines of established connections at once.
+    pub(super) fn record(&mut self, setup_duration: Duration) -> Option<Duration> {
+        let median = self.median();
+        self.latest.push_back(setup_duration);
         if self.latest.len() > MAX_SETUPS {
             self.latest.pop_front();
         }
-        let usual = usual?;
-        if took > usual * SLOW_SETUP_RATIO {
-            took.checked_sub(usual)
+        let median = median?;
+        if setup_duration > median * SLOW_SETUP_RATIO {
+            setup_duration.checked_sub(median)
         } else {
             None
         }
     }
 
-    /// The median of the latest set-ups; `None` while there are few.
-    fn usual(&self) -> Option<Duration> {
+    /// The median of the latest setup times; `None` if there are too few.
+    fn median(&self) -> Option<Duration> {
         if self.latest.len() < MIN_SETUPS {
             return None;
         }
--- a/crates/node/src/placement_driver/setup_times/tests.rs
+++ b/crates/node/src/placement_driver/setup_times/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn a_set_up_has_waited_only_if_it_took_far_longer_than_the_usual_one() {
+fn a_setup_has_queued_only_if_it_took_far_longer_than_the_median() {
     let (mut setup_times, ms) = (SetupTimes::default(), Duration::from_millis);
     assert!(
         (0..8).all(|_| setup_times.record(ms(900)).is_none()),
-        "nothing is usual yet"
+        "there is no median yet"
     );
     assert_eq!(
         (0..MAX_SETUPS)
--- a/crates/node/src/placement_driver/shutdown.rs
+++ b/crates/node/src/placement_driver/shutdown.rs
@@ -1,17 +1,18 @@
-//! The graceful shutdown: established connections are migrated in steps, and what still waits is answered at the end.
+//! Graceful shutdown: established connections are migrated in steps, and requests that still wait are answered at the
+//! end.
 
 use super::request::RequestPhase;
 use super::PlacementDriver;
 use lupincrank_placement::{Action, Event, Outcome, RequestId};
 
 impl PlacementDriver {
-    /// Requests from now on are rejected: a new connection would be closed at once.
+    /// Rejects all further requests: a new connection would be closed at once.
     pub(crate) fn reject_new_requests(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// One step of the shutdown. It migrates established connections so that all have gone after `remaining_steps` calls, this
-    /// one included; the last one also answers the requests that still wait.
+    /// Executes one step of the shutdown: migrates enough established connections that none is left after
+    /// `remaining_steps` calls, including this one. The last step also answers the requests that still wait.
     pub(crate) fn shutdown_step(&mut self, remaining_steps: usize) {
         let established = self.established_requests();
         let count = established.len().div_ceil(remaining_steps.max(1));
@@ -47,7 +48,7 @@
         waiting.map(|(request, _)| *request).collect()
     }
 
-    /// The request gets its final answer now, and its attempt, if one is in flight, is closed. Placement chooses between a
+    /// Gives the request its final answer and closes its attempt, if one is in flight. The balancer chooses between a
     /// rejection and a failure: a request that may have been executed must not be reported as rejected.
     fn end_waiting_request(&mut self, request: RequestId) {
         let Some(active) = self.requests.get(&request) else {
--- a/crates/node/src/placement_driver/start_times.rs
+++ b/crates/node/src/placement_driver/start_times.rs
@@ -1,36 +1,36 @@
-//! When servers started, on the decisions' clock. Discovery tells it in Unix time, and this machine's wall clock may be off by
-//! any amount; what the list shows first while this process runs has started since.
+//! Server start times on the placement clock. Discovery reports them in Unix time, and this machine's wall clock may
+//! be off by any amount; but a start that first appears in the list while this process runs is known to be recent.
 
 use super::clock::PlacementClock;
 use lupincrank_placement::{ServerId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Discovery lists a start at the latest this long after it.
+/// Discovery lists a start at most this long after it happened.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(6);
 
-/// A start as it was listed, and as it was understood.
+/// A start time as listed and as resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct KnownStart {
     unix_ms: u64,
-    /// `None` for longer ago than the clock can tell.
+    /// `None` if earlier than the clock can represent.
     started_at: Option<Timestamp>,
-    /// It came with a first list, so that the wall clock alone told how long ago it was.
-    is_of_first_list: bool,
+    /// The start came with a first list, so that its age is known from the wall clock alone.
+    is_from_first_list: bool,
 }
 
-/// The starts of all servers that were listed. A start keeps the moment that it was first given: the same process must not
-/// look like a new one.
+/// The start times of all listed servers. A start keeps the time to which it was first resolved: the same server
+/// process must not look like a new one.
 #[derive(Debug, Default)]
 pub(super) struct StartTimes {
     known: BTreeMap<ServerId, KnownStart>,
-    /// The moment at which discovery's first list is read, where this machine's wall clock is in doubt.
-    present_of_first_list_ms: Option<u64>,
+    /// The time as of which discovery's first list is read if this machine's wall clock is in doubt.
+    first_list_now_ms: Option<u64>,
 }
 
 impl StartTimes {
-    /// The moment of a start; `None` for long ago. `not_listed_at` is when discovery was last heard of without it; `None`
-    /// for its first list, of which the wall clock alone tells.
+    /// Resolves a start time; `None` for long ago. `not_listed_at` is the time of discovery's last report without
+    /// this start; `None` for its first list, whose ages are known from the wall clock alone.
     pub(super) fn resolve(
         &mut self,
         clock: &PlacementClock,
@@ -38,9 +38,9 @@
         unix_ms: u64,
         not_listed_at: Option<Instant>,
     ) -> Option<Timestamp> {
-        let by_wall_clock = match self.present_of_first_list_ms {
-            Some(present_ms) if not_listed_at.is_none() => {
-                let age = Duration::from_millis(present_ms.saturating_sub(unix_ms));
+        let by_wall_clock = match self.first_list_now_ms {
+            Some(now_ms) if not_listed_at.is_none() => {
+                let age = Duration::from_millis(now_ms.saturating_sub(unix_ms));
                 Some(clock.now().saturating_sub(age))
             }
             _ => clock.timestamp_of_unix_ms(unix_ms),
@@ -54,13 +54,13 @@
             return known.started_at;
         }
         let started_at = match (by_wall_clock, not_listed_at) {
-            (Some(moment), None) => Some(moment.min(clock.now())),
-            (Some(moment), Some(not_listed_at)) => {
+            (Some(started_at), None) => Some(started_at.min(clock.now())),
+            (Some(started_at), Some(not_listed_at)) => {
                 let not_listed_at = clock.timestamp(not_listed_at);
-                if moment < not_listed_at.saturating_sub(MAX_LISTING_DELAY) {
+                if started_at < not_listed_at.saturating_sub(MAX_LISTING_DELAY) {
                     Some(not_listed_at)
                 } else {
-                    Some(moment.min(clock.now()))
+                    Some(started_at.min(clock.now()))
                 }
             }
             (None, Some(not_listed_at)) => Some(clock.timestamp(not_listed_at)),
@@ -69,32 +69,33 @@
         let start = KnownStart {
             unix_ms,
             started_at,
-            is_of_first_list: not_listed_at.is_none(),
+            is_from_first_list: not_listed_at.is_none(),
         };
         self.known.insert(server.clone(), start);
         started_at
     }
 
-    /// Discovery's first list comes. With a present, this machine's wall clock is in doubt: what it told alone is forgotten, and
-    /// the list is read as if it were that moment.
-    pub(super) fn begin_first_list(&mut self, suspected_present_ms: Option<u64>) {
-        self.present_of_first_list_ms = suspected_present_ms;
-        if suspected_present_ms.is_some() {
+    /// Prepares for discovery's first list. `suspected_now_ms` is set if this machine's wall clock is in doubt:
+    /// starts that were resolved from the wall clock alone are then forgotten, and the list is read as of that time.
+    pub(super) fn begin_first_list(&mut self, suspected_now_ms: Option<u64>) {
+        self.first_list_now_ms = suspected_now_ms;
+        if suspected_now_ms.is_some() {
             self.forget_first_list();
         }
     }
 
-    /// The start as it was listed, in milliseconds of Unix time; 0 for long ago.
+    /// The start time as listed, in milliseconds of Unix time; 0 for long ago.
     pub(super) fn unix_ms(&self, server: &ServerId) -> u64 {
         self.known.get(server).map_or(0, |known| known.unix_ms)
     }
 
-    /// Forgets what the wall clock alone told, since it turned out to be off: the next list that names these servers counts.
+    /// Forgets start times that were resolved from the wall clock alone, because it turned out to be wrong: the next
+    /// list that contains these servers resolves them again.
     pub(super) fn forget_first_list(&mut self) {
-        self.known.retain(|_, known| !known.is_of_first_list);
+        self.known.retain(|_, known| !known.is_from_first_list);
     }
 
-    /// Forgets servers that are not listed any more.
+    /// Forgets servers that are not in the endpoint list.
     pub(super) fn retain(&mut self, is_listed: impl Fn(&ServerId) -> bool) {
         self.known.retain(|server, _| is_listed(server));
     }
--- a/crates/node/src/placement_driver/start_times/tests.rs
+++ b/crates/node/src/placement_driver/start_times/tests.rs
@@ -9,7 +9,7 @@
     since_epoch.as_millis() as i64
 }
 
-/// A start, listed on a clock that is off by `error_ms`; how long ago the decisions take it to be, in milliseconds.
+/// The resolved age, in milliseconds, of a start that was listed with a wall clock that is off by `error_ms`.
 fn age_ms(start_age_ms: i64, error_ms: i64, is_first_list: bool) -> i64 {
     let clock = PlacementClock::start();
     let mut start_times = StartTimes::default();
@@ -23,13 +23,13 @@
 
 #[rstest]
 #[case::right_clock(2_000, 0, false, 2_000)]
-#[case::told_as_late_as_may_be(5_900, 0, false, 5_900)]
+#[case::listed_almost_at_the_maximum_delay(5_900, 0, false, 5_900)]
 #[case::ahead(500, HOUR_MS, false, 0)]
 #[case::a_little_ahead(500, 30_000, false, 0)]
 #[case::behind(500, -HOUR_MS, false, 0)]
 #[case::first_list(60_000, 0, true, 60_000)]
 #[case::first_list_and_behind(500, -HOUR_MS, true, 0)]
-fn what_is_listed_while_this_process_runs_has_started_lately(
+fn a_start_first_listed_while_this_process_runs_is_recent(
     #[case] start_age_ms: i64,
     #[case] error_ms: i64,
     #[case] is_first_list: bool,
@@ -38,12 +38,12 @@
     let age_ms = age_ms(start_age_ms, error_ms, is_first_list);
     assert!(
         (age_ms - expected_ms).abs() < 50,
-        "{age_ms}, not {expected_ms}"
+        "age {age_ms} ms, expected {expected_ms} ms"
     );
 }
 
 #[test]
-fn a_start_that_is_listed_again_keeps_its_moment() {
+fn a_start_listed_again_keeps_its_resolved_time() {
     let clock = PlacementClock::start();
     let mut start_times = StartTimes::default();
     let server = ServerId::from("s-0");
@@ -60,8 +60,8 @@
     );
 }
 
-/// A start that the first list shows as long ago stays long ago in the lists after it; one that a later list shows first
-/// does not.
+/// A start that the first list shows as long ago stays long ago in later lists; a start that first appears in a later
+/// list is recent.
 #[test]
 fn a_start_before_the_clock_began_is_long_ago_only_if_the_first_list_has_it() {
     let clock = PlacementClock::start();
@@ -75,9 +75,10 @@
     assert!(start_times.resolve(&clock, &listed_later, 1, now).is_some());
 }
 
-/// The configuration's list comes before discovery has told its clock; the first list that follows counts.
+/// The configured list is applied before discovery has reported its clock; the first list that follows resolves the
+/// start times again.
 #[test]
-fn starts_of_a_first_list_are_reckoned_anew_once_the_clock_is_known_to_be_ahead() {
+fn starts_of_a_first_list_are_resolved_again_if_the_clock_is_ahead() {
     let mut clock = PlacementClock::start();
     let mut start_times = StartTimes::default();
     let server = ServerId::from("s-0");
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a connection to a server from its begin to the server's first line.
+//! One attempt: a connection to a server until the server's answer to the first line.
 
 mod answer;
 
@@ -17,37 +17,39 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connect that this machine refuses is made again after this time, then after twice as long each time, up to the longest.
+/// A connect that fails for a local reason is retried after this time, which doubles with each retry up to the
+/// maximum.
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(5);
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// For so long, or for the connect timeout of the settings if that is longer.
+/// Such retries end after this time, or after the connect timeout of the settings if that is longer.
 const MIN_CONNECT_RETRY_TIME: Duration = Duration::from_millis(500);
 
-/// What is attempted.
+/// The parameters of an attempt.
 pub(crate) struct Attempt {
     /// The client's component.
     pub(crate) owner: ComponentId,
-    /// The request that it is for.
+    /// The request.
     pub(crate) request: RequestId,
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub(crate) address: SocketAddr,
     /// The first line for the server.
     pub(crate) line: ForwardedLine,
-    /// When to stop waiting.
+    /// When to stop waiting for the server's answer.
     pub(crate) deadline: Instant,
-    /// The connection stood before this process began: how the attempt ends is reported to the owner, not to placement.
+    /// The connection was established before this process started: the outcome of the attempt is reported to the
+    /// owner, not to placement.
     pub(crate) is_restored: bool,
 }
 
-/// How far an attempt has come.
+/// The phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Connecting,
-    /// Connected; the owner is to be asked whether the client still waits.
+    /// Connected; the owner has yet to be asked whether the client still waits.
     Connected,
     /// The owner was asked and has not answered yet.
     AwaitingOwner,
-    /// The first line may be written; once it is, the server's answer is awaited.
+    /// The first line may be written; after that the server's answer is awaited.
     Sending,
 }
 
@@ -55,23 +57,23 @@
 pub(crate) struct UpstreamAttempt {
     id: ComponentId,
     attempt: Attempt,
-    /// `None` while this machine refuses to connect.
+    /// `None` while connecting fails for a local reason.
     stream: Option<Registered<TcpStream>>,
-    /// A connect that this machine refuses is made again until then.
+    /// The end of retries of a connect that fails for a local reason.
     retry_connect_until: Instant,
-    /// After how long a connect that this machine refuses is made again.
+    /// The delay before the next such retry.
     connect_backoff: Duration,
     phase: Phase,
-    /// The first line as it is written; empty until then.
+    /// The first line as sent; empty until writing starts.
     line: Vec<u8>,
-    /// How many bytes of the first line are written.
+    /// The number of bytes of the first line that are written.
     written: usize,
-    /// What has come of the server and is not parsed yet.
+    /// Bytes received from the server and not parsed yet.
     received: Vec<u8>,
 }
 
 impl UpstreamAttempt {
-    /// Begins an attempt. How it ends is reported, also where it cannot even begin.
+    /// Starts an attempt. The outcome is reported even if the attempt cannot start.
     pub(crate) fn begin(context: &mut NodeContext, id: ComponentId, attempt: Attempt) {
         let retry_time = context.config.connect_timeout.max(MIN_CONNECT_RETRY_TIME);
         let mut connection = UpstreamAttempt {
@@ -106,8 +108,8 @@
         );
     }
 
-    /// Begins to connect. What this machine refuses for a moment says nothing of the server: it is made again for a
-    /// while.
+    /// Starts to connect. A connect that fails for a local reason is no evidence against the server: it is retried
+    /// for a while.
     fn connect(&mut self, context: &mut NodeContext) -> Lifecycle {
         let address = self.attempt.address;
         let error = match poll::connect(&context.poller, address, poller_key(self.id, 0)) {
@@ -142,7 +144,7 @@
         !self.line.is_empty() && self.written == self.line.len()
     }
 
-    /// Closes the connection, then reports how the attempt ended: the next one must not begin before.
+    /// Closes the connection, then reports the outcome: the next attempt must not start earlier.
     fn end(&mut self, context: &mut NodeContext, outcome: Outcome) -> Lifecycle {
         debug!(context.log, "attempt ended"; "request" => hex_id(self.attempt.request),
             "address" => %self.attempt.address, "outcome" => ?outcome);
@@ -157,7 +159,7 @@
         Lifecycle::Close
     }
 
-    /// Closes the connection, with a reset if bytes of it may not have arrived.
+    /// Closes the connection, with a reset if bytes of the first line may not have arrived.
     fn close(&mut self) {
         let Some(stream) = self.stream.take() else {
             return;
@@ -167,9 +169,9 @@
         }
     }
 
-    /// How a break of the connection counts now: whether the request may have been executed hinges on the last byte of
-    /// the first line.
-    fn outcome_of_break(&self) -> Outcome {
+    /// The outcome if the connection breaks in the present phase: the request may have been executed only if the last
+    /// byte of the first line was written.
+    fn disconnect_outcome(&self) -> Outcome {
         if self.phase == Phase::Connecting {
             Outcome::ConnectFailed
         } else if self.is_line_written() {
@@ -179,13 +181,13 @@
         }
     }
 
-    /// Goes on with connecting and writing, as far as the phase and the socket allow.
+    /// Continues connecting and writing, as far as the phase and the socket allow.
     fn advance(&mut self, context: &mut NodeContext) -> Lifecycle {
         match self.try_advance(context) {
             Ok(()) => Lifecycle::Continue,
             Err(error) => {
                 debug!(context.log, "send failed"; "address" => %self.attempt.address, "error" => %error);
-                self.end(context, self.outcome_of_break())
+                self.end(context, self.disconnect_outcome())
             }
         }
     }
@@ -203,8 +205,9 @@
                 .deadlines
                 .clear(self.id, AttemptDeadline::Connect.into());
         }
-        // Connecting may have taken long: whether the client still waits is seen first. The owner looks before the
-        // next event; nothing is waited for meanwhile. Guards against a loop that spins on a writable socket.
+        // Connecting may have taken long, so the owner first checks whether the client still waits. It does so before
+        // the next event; until then the write interest is off, so that a writable socket does not make the event
+        // loop spin.
         if self.phase == Phase::Connected {
             self.phase = Phase::AwaitingOwner;
             context.send(self.attempt.owner, ClientCommand::AttemptConnected(self.id));
@@ -226,7 +229,8 @@
                 .saturating_duration_since(Instant::now());
             self.line = self.attempt.line.with_time_left(time_left);
         }
-        // Nothing of the line may arrive once a network that was cut heals, also where this process ends.
+        // If the connection closes, or this process ends, while the network is partitioned, no part of the line may
+        // arrive once the partition heals.
         if self.written == 0 {
             enable_reset_on_close(stream)?;
         }
@@ -244,9 +248,9 @@
         stream.set_interest(Interest::READ)
     }
 
-    /// The client still waits: the first line is written, unless placement refuses to send new requests to the server by
-    /// now, which may have begun to drain while the connection was made. A connection that stood there before is no new
-    /// one.
+    /// Writes the first line, since the client still waits, unless placement refuses to send new requests to the
+    /// server: it may have started to drain while the connection was set up. A restored connection is not a new
+    /// request.
     fn on_send_first_line(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.phase = Phase::Sending;
         let is_new = self.written == 0 && !self.attempt.is_restored;
@@ -278,7 +282,7 @@
         if kind == AttemptDeadline::RetryConnect.into() {
             return self.connect(context);
         }
-        // The answer may have come while this process was kept from reading it.
+        // The answer may have arrived while this process was kept from reading it.
         if self.phase != Phase::Connecting && self.read(context) == Lifecycle::Close {
             return Lifecycle::Close;
         }
--- a/crates/node/src/upstream/attempt/answer.rs
+++ b/crates/node/src/upstream/attempt/answer.rs
@@ -1,4 +1,4 @@
-//! What a server answers to the first line of an attempt.
+//! Handles a server's answer to the first line of an attempt.
 
 use super::UpstreamAttempt;
 use crate::command::{AcceptedAttempt, ClientCommand};
@@ -9,12 +9,13 @@
 use lupincrank_reactor::Lifecycle;
 use std::io;
 
-/// What one turn of the loop reads of a server. Guards against an answer that never ends and keeps the others waiting.
+/// The maximum number of bytes read from a server in one turn of the event loop. Guards against an endless answer
+/// that delays other connections.
 const MAX_BYTES_PER_TURN: usize = 16 << 10;
 const READ_CHUNK_BYTES: usize = 4 << 10;
 
 impl UpstreamAttempt {
-    /// Reads what has come and handles its complete lines.
+    /// Reads the available bytes and handles complete lines.
     pub(super) fn read(&mut self, context: &mut NodeContext) -> Lifecycle {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut read_bytes = 0;
@@ -23,7 +24,7 @@
                 return Lifecycle::Continue;
             };
             match stream.read(&mut chunk) {
-                Ok(0) => return self.end(context, self.outcome_of_break()),
+                Ok(0) => return self.end(context, self.disconnect_outcome()),
                 Ok(length) => {
                     read_bytes += length;
                     self.received.extend_from_slice(&chunk[..length]);
@@ -31,7 +32,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return Lifecycle::Continue
                 }
-                Err(_) => return self.end(context, self.outcome_of_break()),
+                Err(_) => return self.end(context, self.disconnect_outcome()),
             }
             if self.process_lines(context) == Lifecycle::Close {
                 return Lifecycle::Close;
@@ -59,14 +60,14 @@
         let line = ServerLine::parse_answer(line_bytes, &context.config.answer_report_fields);
         let is_answer = !matches!(line, ServerLine::Load(_));
         if let Some(stream) = self.stream.as_ref().filter(|_| is_answer) {
-            // The server has the first line.
+            // The server has received the first line.
             let _ = disable_reset_on_close(stream);
         }
         match line {
             _ if !is_well_formed => self.end(context, Outcome::Error),
             ServerLine::Up => self.on_accepted(context),
             ServerLine::Bye => self.on_served(context, line_end),
-            // A load reported before the answer is of no use to anyone yet.
+            // A load reported before the answer is ignored: there is no established connection yet.
             ServerLine::Load(_) => {
                 self.received.drain(..=line_end);
                 Lifecycle::Continue
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The server has accepted the request: the socket and what has come on it go to the owner.
+    /// Hands the socket and the received bytes to the owner, since the server has accepted the request.
     fn on_accepted(&mut self, context: &mut NodeContext) -> Lifecycle {
         if let Some(stream) = self.stream.take() {
             let accepted = AcceptedAttempt {
@@ -93,7 +94,7 @@
         Lifecycle::Close
     }
 
-    /// The server has served the request to its end at once.
+    /// Passes on the answer of a server that has already served the whole request.
     fn on_served(&mut self, context: &mut NodeContext, line_end: usize) -> Lifecycle {
         let line = self.received[..=line_end].to_vec();
         self.stream = None;
@@ -101,12 +102,10 @@
         Lifecycle::Close
     }
 
-    /// The server could not parse the first line, which is the client's fault.
+    /// Ends a request whose first line the server could not parse, which is the client's fault.
     fn on_syntax_error(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.stream = None;
-        context
-            .placement
-            .on_unreadable_request(self.attempt.request);
+        context.placement.on_malformed_request(self.attempt.request);
         Lifecycle::Close
     }
 }
--- a/crates/node/src/upstream/byte_buffer.rs
+++ b/crates/node/src/upstream/byte_buffer.rs
@@ -4,19 +4,19 @@
 use std::io;
 use std::net::{Shutdown, TcpStream};
 
-/// Bytes that were read from one side and are not written to the other yet, and the end of the stream behind them.
+/// Bytes that were read from one side and are not written to the other yet, and the end of stream after them.
 #[derive(Default)]
 pub(super) struct ByteBuffer {
     bytes: Vec<u8>,
-    /// How many of `bytes` are written.
+    /// The number of `bytes` already written.
     written: usize,
-    /// The reading side has ended; once all is written, the writing side is shut down.
+    /// The reading side has ended; once all bytes are written, the writing side is shut down.
     has_ended: bool,
     is_shut_down: bool,
 }
 
 impl ByteBuffer {
-    /// A buffer that holds these bytes.
+    /// Creates a buffer that holds these bytes.
     pub(super) fn with_bytes(bytes: &[u8]) -> ByteBuffer {
         ByteBuffer {
             bytes: bytes.to_vec(),
@@ -29,12 +29,12 @@
         &self.bytes[self.written..]
     }
 
-    /// Whether the reading side has ended.
+    /// Returns true if the reading side has ended.
     pub(super) fn has_ended(&self) -> bool {
         self.has_ended
     }
 
-    /// Whether all is written and the writing side was shut down.
+    /// Returns true if all bytes are written and the writing side was shut down.
     pub(super) fn is_shut_down(&self) -> bool {
         self.is_shut_down
     }
@@ -55,10 +55,10 @@
         self.written = 0;
     }
 
-    /// Writes as much as the stream accepts; shuts its writing side down behind the last byte.
+    /// Writes as much as the stream accepts; shuts its writing side down after the last byte.
     ///
     /// # Errors
-    /// Where writing or shutting down fails, that is, where the connection broke.
+    /// If writing or shutting down fails, that is, if the connection broke.
     pub(super) fn write_to(&mut self, stream: &Registered<TcpStream>) -> io::Result<()> {
         while self.written < self.bytes.len() {
             match stream.write(&self.bytes[self.written..]) {
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks: one line to a server on a connection of its own, and the response tells how loaded the server is. The
-//! connection stays open for the next check, since each new one costs the server work.
+//! Health checks: one line to a server on a separate connection, whose response reports the server's load. The
+//! connection stays open for the next check because each new connection costs the server work.
 
 use super::open_health_checks::CheckedServer;
 use super::server_line::parse_report;
@@ -15,14 +15,14 @@
 use std::time::{Duration, Instant};
 
 const REQUEST_LINE: &[u8] = b"STATS\r\n";
-/// The longest response. Guards against one that never ends.
+/// The maximum length of a response. Guards against an endless one.
 const MAX_RESPONSE_BYTES: usize = 1 << 10;
-/// A server that has not responded by then responds to nobody.
+/// A server that does not respond within this time is unresponsive.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection stays open without a check.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a server's response says.
+/// A server's response.
 #[derive(Debug, PartialEq)]
 struct HealthCheckResponse {
     has_passed: bool,
@@ -31,20 +31,19 @@
 }
 
 impl HealthCheckResponse {
-    /// Parses `WORD FIELD=FIGURE,...` without its terminator. The report has all of `fields`,
-    /// or is none.
+    /// Parses `WORD FIELD=NUMBER,...` without its terminator. A report that lacks any of `fields` is ignored.
     fn parse(line: &str, fields: &[String]) -> HealthCheckResponse {
         let (word, report) = line.split_once(' ').unwrap_or((line, ""));
         HealthCheckResponse {
-            // `NO` is the response of a server that does not know health checks, and runs all the same.
+            // `NO` is the response of a server that does not support health checks but is running.
             has_passed: matches!(word, "PONG" | "NO"),
             load_report: parse_report(report, fields),
         }
     }
 }
 
-/// Checks a server's health; placement is told the result. Where too many servers are checked at once this one is left
-/// out, and counts as passed without a report.
+/// Checks a server's health and reports the result to placement. If too many servers are being checked at once, the
+/// check is skipped and counts as passed without a report.
 pub(crate) fn check(context: &mut NodeContext, server: &ServerId, address: SocketAddr) {
     let open = context.health_checks.connections.get(server).copied();
     match open {
@@ -64,11 +63,11 @@
     }
 }
 
-/// Whether a check is under way.
+/// Whether a check is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CheckState {
     Idle,
-    /// So many bytes of the request line are written.
+    /// `written` bytes of the request line are written.
     Pending {
         written: usize,
     },
@@ -85,7 +84,7 @@
 }
 
 impl HealthCheckConnection {
-    /// Connects to a server and begins the first check.
+    /// Connects to a server and starts the first check.
     fn open(context: &mut NodeContext, server: &ServerId, address: SocketAddr) -> io::Result<()> {
         let id = context.allocate_id();
         let stream = poll::connect(&context.poller, address, poller_key(id, 0))?;
@@ -121,7 +120,7 @@
         Ok(())
     }
 
-    /// Closes the connection; a check that is under way has failed.
+    /// Closes the connection; a check in progress fails.
     fn end(&mut self, context: &mut NodeContext) -> Lifecycle {
         let connections = &mut context.health_checks.connections;
         let open = connections.get(&self.server);
@@ -170,7 +169,7 @@
         self.stream.set_interest(Interest::READ)
     }
 
-    /// Reads what has come; an error closes the connection.
+    /// Reads the available bytes; an error closes the connection.
     fn read(&mut self, context: &mut NodeContext) -> io::Result<()> {
         let mut chunk = [0; MAX_RESPONSE_BYTES];
         match self.stream.read(&mut chunk) {
@@ -192,7 +191,7 @@
         Ok(())
     }
 
-    /// Takes the response, whose line feed is at `line_end`; one that was not asked for is an error.
+    /// Handles the response, whose line feed is at `line_end`; an unsolicited one is an error.
     fn on_response(&mut self, context: &mut NodeContext, line_end: usize) -> io::Result<()> {
         if self.check == CheckState::Idle {
             return Err(io::ErrorKind::InvalidData.into());
@@ -214,7 +213,7 @@
         Ok(())
     }
 
-    /// Begins another check, unless one is under way.
+    /// Starts another check, unless one is in progress.
     fn on_check(&mut self, context: &mut NodeContext) -> Lifecycle {
         if self.check != CheckState::Idle {
             return Lifecycle::Continue;
@@ -231,8 +230,8 @@
         }
     }
 
-    /// The server has another address, where it is checked by another connection; a check that is under way here counts
-    /// for nothing.
+    /// Closes the connection because the server's address has changed and another connection checks it there; a check
+    /// in progress is dropped without a result.
     fn on_close(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.check = CheckState::Idle;
         self.end(context)
--- a/crates/node/src/upstream/relay.rs
+++ b/crates/node/src/upstream/relay.rs
@@ -1,5 +1,5 @@
-//! The relay between a client and its server: passes bytes both ways unchanged, and reports the lines that placement
-//! needs to know of.
+//! The relay between a client and its server: forwards bytes in both directions unchanged, and reports the lines that
+//! placement needs.
 
 mod closing;
 mod transfer;
@@ -20,7 +20,7 @@
 use transfer::TransferState;
 pub(crate) use transfer::TransferredSockets;
 
-/// What one side may send in one turn of the loop, and in one read.
+/// The maximum number of bytes read from one side in one turn of the event loop, and in one read.
 const MAX_BYTES_PER_TURN: usize = 32 << 10;
 const READ_CHUNK_BYTES: usize = 4 << 10;
 
@@ -32,7 +32,7 @@
 }
 
 impl Side {
-    /// The number of the side's socket among those of the component.
+    /// The index of the side's socket within the component.
     fn socket(self) -> usize {
         match self {
             Side::Client => 0,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What the next line of the server is, if it is no load report.
+/// The kind of the server's next line, unless it is a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextServerLine {
     /// The line that accepts the request.
@@ -63,25 +63,25 @@
     id: ComponentId,
     request: RequestId,
     client: Registered<TcpStream>,
-    /// `None` once the client was told to move.
+    /// `None` once the client was asked to reconnect.
     server: Option<Registered<TcpStream>>,
     to_server: ByteBuffer,
     to_client: ByteBuffer,
-    /// A side for which this much is pending is not read for: what the other sends stays with the sender.
+    /// A side is not read while this many of its bytes are pending, so that backpressure reaches the sender.
     max_pending_bytes: usize,
-    /// The begin of a line of the server whose end is still to come. Lines go to the client whole: guards against a
-    /// `MOVE` in the middle of one.
+    /// The start of an incomplete line of the server. Only complete lines are forwarded to the client: guards against
+    /// a `MOVE` in the middle of one.
     partial_line: Vec<u8>,
     last_server_line: ServerLine,
-    /// Placement knows how the request ended.
+    /// Whether the request's outcome has been reported to placement.
     is_outcome_reported: bool,
     transfer: TransferState,
-    /// Counts the client for as long as the relay lives.
+    /// Counts the client while the relay exists.
     _slot: ClientSlot,
 }
 
 impl Relay {
-    /// Takes both sockets and passes on what has already come from the server.
+    /// Takes over both sockets and forwards what the server has already sent.
     pub(crate) fn begin(
         context: &mut NodeContext,
         id: ComponentId,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Reports to placement how the request ended; only the first report counts.
+    /// Reports the request's outcome to placement; only the first report counts.
     fn report_outcome(&mut self, context: &mut NodeContext, outcome: Outcome) {
         if self.is_outcome_reported {
             return;
@@ -147,7 +147,7 @@
     }
 }
 
-/// Passing bytes on.
+/// Forwarding of bytes.
 impl Relay {
     fn stream_mut(&mut self, side: Side) -> Option<&mut Registered<TcpStream>> {
         match side {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Whether bytes of this side are taken: it has not ended, and not too much of it is pending.
+    /// Returns true if bytes of this side may be read: it has not ended, and not too much of it is pending.
     fn can_read(&self, side: Side) -> bool {
         let buffer = match side {
             Side::Client => &self.to_server,
@@ -174,10 +174,11 @@
                 return Lifecycle::Continue;
             };
             if !can_read {
-                // An event that was not asked for: the connection broke, or there is none any more.
+                // The socket is readable although no read was requested: the connection broke, unless no error is
+                // pending.
                 return match stream.take_error() {
                     Ok(None) => self.pump(context),
-                    _ => self.on_broken(context, side),
+                    _ => self.on_side_failed(context, side),
                 };
             }
             match stream.read(&mut chunk) {
@@ -190,7 +191,7 @@
                     self.on_bytes(context, side, &chunk[..length]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.on_broken(context, side),
+                Err(_) => return self.on_side_failed(context, side),
             }
         }
         self.pump(context)
@@ -204,7 +205,7 @@
     }
 
     fn on_client_bytes(&mut self, context: &mut NodeContext, bytes: &[u8]) {
-        // What a client sends that was told to move is dropped.
+        // Bytes of a client that was asked to reconnect are dropped.
         if self.server.is_none() {
             return;
         }
@@ -228,12 +229,12 @@
             self.last_server_line = ServerLine::parse(&self.partial_line[complete_bytes..line_end]);
             match (self.last_server_line, next_line) {
                 (ServerLine::Load(load), _) => context.placement.on_load_report(self.request, load),
-                (_, NextServerLine::Reply) => context.placement.on_line_returned(self.request),
+                (_, NextServerLine::Reply) => context.placement.on_reply_received(self.request),
                 (_, NextServerLine::Acceptance) => next_line = NextServerLine::Reply,
             }
             complete_bytes = line_end;
         }
-        // A line longer than any may be goes on as it is, rather than being held for ever.
+        // A line over the maximum length is forwarded in pieces rather than held forever.
         if self.partial_line.len() - complete_bytes > MAX_LINE_BYTES {
             complete_bytes = self.partial_line.len();
         }
@@ -241,14 +242,14 @@
         self.partial_line.drain(..complete_bytes);
     }
 
-    /// Writes what is pending, sets what is waited for, and says whether anything is left to do.
+    /// Writes pending bytes and updates the interests. Returns `Close` if both directions have ended.
     fn pump(&mut self, context: &mut NodeContext) -> Lifecycle {
         if self.to_client.write_to(&self.client).is_err() {
-            return self.on_broken(context, Side::Client);
+            return self.on_side_failed(context, Side::Client);
         }
         if let Some(server) = &mut self.server {
             if self.to_server.write_to(server).is_err() {
-                return self.on_broken(context, Side::Server);
+                return self.on_side_failed(context, Side::Server);
             }
         }
         if self.is_complete() {
@@ -256,11 +257,11 @@
         }
         match self.update_interests() {
             Ok(()) => Lifecycle::Continue,
-            Err(_) => self.on_broken(context, Side::Client),
+            Err(_) => self.on_side_failed(context, Side::Client),
         }
     }
 
-    /// Whether both directions have ended.
+    /// Returns true if both directions have ended.
     fn is_complete(&self) -> bool {
         let is_server_done = self.to_server.is_shut_down() || self.server.is_none();
         self.to_client.is_shut_down() && self.to_server.has_ended() && is_server_done
@@ -288,7 +289,7 @@
     }
 }
 
-/// The length of the first line in `bytes`, its line feed included.
+/// The length of the first line in `bytes`, including its line feed.
 fn line_length(bytes: &[u8]) -> Option<usize> {
     let line_feed = bytes.iter().position(|byte| *byte == b'\n')?;
     Some(line_feed + 1)
--- a/crates/node/src/upstream/relay/closing.rs
+++ b/crates/node/src/upstream/relay/closing.rs
@@ -1,4 +1,4 @@
-//! How relays end: a side that closes or breaks, and the migration of the client.
+//! The end of a relay: a side that closes or fails, and the migration of the client.
 
 use super::{Relay, Side};
 use crate::state::NodeContext;
@@ -8,19 +8,19 @@
 use lupincrank_reactor::Lifecycle;
 use std::time::Duration;
 
-/// How long the relay stays open once the client has ended its sending.
+/// How long the relay stays open after the client has shut down its sending direction.
 const HALF_CLOSED_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a client that was migrated, or whose server has closed, may take to close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
-/// A server that closes so soon after a line that it did not answer could not parse the line.
+/// A server that closes within this time after a line that it did not answer is assumed to have failed to parse it.
 const SYNTAX_ERROR_WINDOW: Duration = Duration::from_millis(250);
-/// What a client is sent that is to connect again elsewhere.
+/// The line that asks a client to reconnect.
 const MOVE_LINE: &[u8] = b"MOVE\r\n";
 
 impl Relay {
-    /// The outcome of a server's close that it did not announce. Replies come at once, so if a line has just gone out it
-    /// was that one that the server could not parse: guards against blaming it for what a client sends.
-    fn outcome_of_server_close(&self, context: &NodeContext) -> Outcome {
+    /// The outcome if a server closes without notice. Servers reply at once, so if a line was just sent, it is that
+    /// line that the server could not parse: guards against blaming the server for the client's input.
+    fn server_close_outcome(&self, context: &NodeContext) -> Outcome {
         let sent_at = context.placement.oldest_unanswered_line(self.request);
         if sent_at.is_some_and(|sent_at| sent_at.elapsed() < SYNTAX_ERROR_WINDOW) {
             Outcome::Cancelled
@@ -29,8 +29,8 @@
         }
     }
 
-    /// One side was reset: the other one is reset too, after what it can still take at once.
-    pub(super) fn on_broken(&mut self, context: &mut NodeContext, side: Side) -> Lifecycle {
+    /// Handles the failure of one side: the other side is reset too, after the pending bytes that it accepts at once.
+    pub(super) fn on_side_failed(&mut self, context: &mut NodeContext, side: Side) -> Lifecycle {
         match side {
             Side::Client => {
                 self.report_outcome(context, Outcome::Cancelled);
@@ -40,7 +40,7 @@
                 }
             }
             Side::Server => {
-                let outcome = self.outcome_of_server_close(context);
+                let outcome = self.server_close_outcome(context);
                 self.report_outcome(context, outcome);
                 let _ = self.to_client.write_to(&self.client);
                 let _ = enable_reset_on_close(&self.client);
@@ -49,7 +49,7 @@
         Lifecycle::Close
     }
 
-    /// One side has ended its sending: the other learns of it behind all that was sent.
+    /// Handles the end of one side's stream, which the other side sees after all bytes sent before it.
     pub(super) fn on_end_of_stream(&mut self, context: &mut NodeContext, side: Side) {
         match side {
             Side::Client => self.on_client_end(context),
@@ -77,12 +77,12 @@
             ServerLine::Bye => Outcome::Served,
             ServerLine::Move => Outcome::Cancelled,
             ServerLine::Error => Outcome::Error,
-            _ => self.outcome_of_server_close(context),
+            _ => self.server_close_outcome(context),
         };
         self.report_outcome(context, outcome);
     }
 
-    /// Tells the client between two lines to connect again elsewhere, and ends both sides.
+    /// Asks the client, between two lines, to reconnect, and ends both sides.
     pub(super) fn migrate(&mut self, context: &mut NodeContext) -> Lifecycle {
         if self.server.take().is_some() {
             self.partial_line.clear();
--- a/crates/node/src/upstream/relay/transfer.rs
+++ b/crates/node/src/upstream/relay/transfer.rs
@@ -20,17 +20,17 @@
 /// Whether a relay was sent to another process that has not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferState {
-    /// It was not.
+    /// The relay was not sent.
     Idle,
-    /// It was: nothing is read or written until the other process has accepted or refused it.
+    /// The relay was sent: nothing is read or written until the other process has accepted or refused it.
     Pending,
-    /// As `Pending`; if the relay stays here, its client is migrated.
+    /// As `Pending`; if the other process refuses the relay, its client is migrated.
     PendingMigration,
 }
 
-/// Taking relays of another process.
+/// Receiving relays from another process.
 impl Relay {
-    /// Whether a relay of another process can go on here.
+    /// Returns true if a relay of another process can continue in this one.
     pub(crate) fn can_resume(
         context: &NodeContext,
         record: &TransferredConnection,
@@ -40,7 +40,7 @@
             && !context.placement.has_request(RequestId(record.request))
     }
 
-    /// Goes on with a relay of another process where that process left off.
+    /// Continues a relay of another process with the state that it was sent with.
     pub(crate) fn resume_transferred(
         context: &mut NodeContext,
         record: TransferredConnection,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The sockets of a relay of another process, registered for the component that goes on with it.
+/// The sockets of a relay of another process, registered for the component that continues it.
 pub(crate) struct TransferredSockets {
     id: ComponentId,
     client: Registered<TcpStream>,
@@ -78,7 +78,7 @@
     /// Registers both sockets.
     ///
     /// # Errors
-    /// Where the poller refuses one of them.
+    /// If the poller refuses one of them.
     pub(crate) fn register(
         context: &mut NodeContext,
         [client, server]: [OwnedFd; 2],
@@ -107,7 +107,7 @@
     )
 }
 
-/// Makes the request of a transferred relay known to placement.
+/// Registers the request of a transferred relay with placement.
 fn register_request(context: &mut NodeContext, id: ComponentId, record: TransferredConnection) {
     let class = context
         .config
@@ -116,7 +116,7 @@
         .position(|class| *class == record.class);
     let request_info = RequestInfo {
         request: RequestId(record.request),
-        // A class that the settings do not have any more: a request that has its server needs none.
+        // A class that was removed from the settings: a request that has its server needs none.
         class: class.unwrap_or(usize::MAX),
         tenant: None,
         group: record.group,
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Sends both sockets and all that is pending between them to the process that replaces this one. A relay that is
-    /// ending ends here.
+    /// Sends both sockets and all pending bytes to the process that replaces this one. A relay that is already ending
+    /// is not sent.
     fn transfer(&mut self, context: &mut NodeContext) -> Lifecycle {
         if !self.can_transfer() {
             return Lifecycle::Continue;
@@ -177,7 +177,7 @@
         self.server.is_some() && self.transfer == TransferState::Idle && !has_ended
     }
 
-    /// What the other process has to know; `None` if placement has no such request.
+    /// The record for the other process; `None` if placement has no such established connection.
     fn transfer_record(&self, context: &NodeContext) -> Option<TransferredConnection> {
         let connection = context.placement.established_connection(self.request)?;
         let request_info = connection.request;
@@ -199,7 +199,8 @@
         })
     }
 
-    /// The bytes that go along: pending for the server, pending for the client, and the begin of a server's line.
+    /// The bytes sent with the record: pending for the server, pending for the client, and the start of an incomplete
+    /// line of the server.
     fn pending_parts(&self) -> [&[u8]; 3] {
         [
             self.to_server.pending(),
@@ -237,13 +238,13 @@
         }
     }
 
-    /// The other process has the connection from now on.
+    /// Closes the relay, since the other process has accepted the connection.
     fn on_transferred(&mut self, context: &mut NodeContext) -> Lifecycle {
         self.report_outcome(context, Outcome::Cancelled);
         Lifecycle::Close
     }
 
-    /// The other process has not taken the connection: it goes on here.
+    /// Continues the relay, since the other process has refused the connection.
     fn on_transfer_cancelled(&mut self, context: &mut NodeContext) -> Lifecycle {
         let state = self.transfer;
         self.transfer = TransferState::Idle;
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Placement moves the client away, at once or as soon as it is known that the relay stays here.
+    /// Migrates the client, at once or as soon as it is known that the relay stays in this process.
     pub(super) fn on_migrate(&mut self, context: &mut NodeContext) -> Lifecycle {
         if self.transfer == TransferState::Idle {
             return self.migrate(context);
--- a/crates/node/src/upstream/reset_on_close.rs
+++ b/crates/node/src/upstream/reset_on_close.rs
@@ -1,17 +1,17 @@
-//! What becomes of bytes that the kernel still holds when a connection to a client or server closes.
+//! The handling of bytes that the kernel still holds when a connection to a client or server closes.
 
 use socket2::SockRef;
 use std::io;
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Bytes that are not delivered when the connection closes, be it with this process, are dropped, and the other end sees
-/// a reset.
+/// Makes the kernel drop undelivered bytes and send a reset when the connection closes, including when this process
+/// ends.
 pub(super) fn enable_reset_on_close(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// The kernel delivers what it holds after the connection closes.
+/// Makes the kernel deliver its remaining bytes after the connection closes.
 pub(super) fn disable_reset_on_close(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_linger(None)
 }
--- a/crates/node/src/upstream/server_line.rs
+++ b/crates/node/src/upstream/server_line.rs
@@ -1,10 +1,10 @@
 //! Parsing of the lines that servers send on a request's connection.
 
-/// The longest line of the protocol in bytes, its terminator included.
+/// The maximum length of a protocol line in bytes, including its terminator.
 pub(crate) const MAX_LINE_BYTES: usize = 4 << 10;
 
-/// Figures of the protocol (loads, fields of load reports) are below this.
-const FIGURE_LIMIT: f64 = 1e12;
+/// Numbers in the protocol (loads, fields of load reports) are below this limit.
+const NUMBER_LIMIT: f64 = 1e12;
 
 /// One line of a server, by its first word.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -13,25 +13,26 @@
     Up,
     /// `BYE`: the request is served.
     Bye,
-    /// `MOVE`: the client is to connect again elsewhere.
+    /// `MOVE`: asks the client to reconnect elsewhere.
     Move,
     /// `ERR`: the request has failed.
     Error,
     /// `BUSY`: the server rejects the request without having executed any of it.
     Busy,
-    /// `SYNTAX`: the server could not parse what it was sent.
+    /// `SYNTAX`: the server could not parse the line that it received.
     SyntaxError,
     /// `LOAD X`: the connection's load in microseconds of work per second.
     Load(f64),
-    /// Anything else, a damaged line included.
+    /// Anything else, including a malformed line.
     Unknown,
 }
 
 impl ServerLine {
     /// Parses one line, with or without its terminator.
     ///
-    /// A damaged line is `Unknown`: an `UP` whose receipt is missing or not printable proves no service, and a `BUSY`
-    /// followed by anything but a time does not prove that nothing was executed: see [`ServerLine::parse_answer`] for reports.
+    /// A malformed line is `Unknown`: an `UP` whose receipt is missing or not printable does not prove that the
+    /// request was accepted, and a `BUSY` followed by anything but a time does not prove that nothing was executed.
+    /// [`ServerLine::parse_answer`] also accepts a `BUSY` with a load report.
     pub(crate) fn parse(line: &[u8]) -> ServerLine {
         let line = line.trim_ascii_end();
         let word_end = line
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Parses the answer to a request. `BUSY` may close with a load report that has all of `report_fields`, which are empty
-    /// where answers carry none.
+    /// Parses the answer to a request. `BUSY` may be followed by a load report that has all of `report_fields`, which
+    /// are empty if answers carry no reports.
     pub(crate) fn parse_answer(line: &[u8], report_fields: &[String]) -> ServerLine {
         match ServerLine::parse(line) {
             ServerLine::Unknown if is_busy_with_report(line, report_fields) => ServerLine::Busy,
@@ -69,24 +70,24 @@
     report.is_some_and(|report| parse_report(report, report_fields).is_some())
 }
 
-/// Parses `FIELD=FIGURE,...`: the figures of `fields`, in their order. A report that lacks one of them, or has something
-/// else than a figure in one, is no report; nor is there one without fields.
+/// Parses `FIELD=NUMBER,...`: returns the numbers of `fields`, in their order. `None` if `fields` is empty, or if one
+/// of them is missing or not a valid number.
 pub(crate) fn parse_report(report: &str, fields: &[String]) -> Option<Vec<f64>> {
     fields
         .iter()
         .map(|field| parse_report_field(report, field))
         .collect::<Option<Vec<f64>>>()
-        .filter(|figures| !figures.is_empty())
+        .filter(|numbers| !numbers.is_empty())
 }
 
 fn parse_report_field(report: &str, field: &str) -> Option<f64> {
     let value = report
         .split(',')
         .find_map(|entry| entry.strip_prefix(field)?.strip_prefix('='))?;
-    parse_figure(value.trim())
+    parse_number(value.trim())
 }
 
-/// Whether this is printable text.
+/// Returns true if the argument is non-empty printable text.
 fn is_receipt(argument: &[u8]) -> bool {
     !argument.is_empty() && argument.iter().all(|byte| matches!(byte, b' '..=b'~'))
 }
@@ -94,14 +95,14 @@
 fn parse_load(argument: &[u8]) -> ServerLine {
     std::str::from_utf8(argument)
         .ok()
-        .and_then(parse_figure)
+        .and_then(parse_number)
         .map_or(ServerLine::Unknown, ServerLine::Load)
 }
 
-/// Parses a figure of the protocol: a number that is finite, not negative and below [`FIGURE_LIMIT`].
-pub(crate) fn parse_figure(text: &str) -> Option<f64> {
-    let figure = text.parse::<f64>().ok()?;
-    (0.0..FIGURE_LIMIT).contains(&figure).then_some(figure)
+/// Parses a number of the protocol: finite, not negative and below [`NUMBER_LIMIT`].
+pub(crate) fn parse_number(text: &str) -> Option<f64> {
+    let number = text.parse::<f64>().ok()?;
+    (0.0..NUMBER_LIMIT).contains(&number).then_some(number)
 }
 
 #[cfg(test)]
--- a/crates/node/src/upstream/server_line/tests.rs
+++ b/crates/node/src/upstream/server_line/tests.rs
@@ -17,7 +17,7 @@
 #[case("LOAD -1\r\n", ServerLine::Unknown)]
 #[case("LOAD NaN\r\n", ServerLine::Unknown)]
 #[case("\r\n", ServerLine::Unknown)]
-fn a_line_is_known_by_its_first_word(#[case] line: &str, #[case] expected: ServerLine) {
+fn a_line_is_parsed_by_its_first_word(#[case] line: &str, #[case] expected: ServerLine) {
     assert_eq!(ServerLine::parse(line.as_bytes()), expected);
 }
 
@@ -28,7 +28,7 @@
 #[case("BUSY rate=2\r\n", ServerLine::Unknown)]
 #[case("BUSY rate=2,x0=\r\n", ServerLine::Unknown)]
 #[case("UP rate=2,x0=0.3\r\n", ServerLine::Up)]
-fn a_rejection_may_close_with_a_whole_report(#[case] line: &str, #[case] expected: ServerLine) {
+fn a_rejection_may_end_with_a_complete_report(#[case] line: &str, #[case] expected: ServerLine) {
     let fields = ["rate".to_string(), "x0".to_string()];
     assert_eq!(ServerLine::parse_answer(line.as_bytes(), &fields), expected);
 }
