--- a/crates/node/src/client/connection/request.rs
+++ b/crates/node/src/client/connection/request.rs
@@ -322,7 +322,8 @@
         self.answer(context, answer)
     }
 
-    /// Frees the file descriptor of an unidentified connection: a client that has sent nothing is closed at once.
+    /// Frees the file descriptor of an unidentified connection: a client that has sent nothing is rejected
+    /// and closed at once.
     pub(super) fn on_close(&mut self, context: &mut NodeContext) -> Lifecycle {
         match &self.state {
             State::ReadingFirstLine(_) => {
--- a/crates/node/src/placement_driver/first_list.rs
+++ b/crates/node/src/placement_driver/first_list.rs
@@ -1,4 +1,4 @@
-//! Detection of a fast wall clock from discovery's first endpoint list alone.
+//! Detection of a wall clock that is ahead, from discovery's first endpoint list alone.
 //!
 //! The list holds start times in Unix time. On a machine whose clock is ahead, servers that have just started look
 //! old, and such a list looks the same as one of old servers that started together. Servers whose age is in doubt are
--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -18,9 +18,9 @@
 const MIN_UNANSWERED_CONNECTIONS: usize = 2;
 const UNRESPONSIVE_SERVER_TIMEOUT: Duration = Duration::from_millis(500);
 /// If more than one in this many of the servers in use seem unresponsive, none of them is reported: this node itself
-/// is then cut off.
+/// is then assumed to be cut off.
 const MAX_UNRESPONSIVE_DIVISOR: usize = 2;
-/// A delay over this fraction of the shortest message objective is slow.
+/// A delay is slow if it exceeds the shortest message objective divided by this.
 const SLOW_DELAY_DIVISOR: u32 = 3;
 
 /// Loads are reported in microseconds of work per second.
--- a/crates/node/src/placement_driver/setup_times.rs
+++ b/crates/node/src/placement_driver/setup_times.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A setup that takes longer than this multiple of the median has queued.
+/// A setup that takes longer than this multiple of the median is assumed to have queued.
 const SLOW_SETUP_RATIO: u32 = 3;
 /// The number of latest setups that the median is taken from.
 const MAX_SETUPS: usize = 63;
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -17,8 +17,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connect that fails for a local reason is retried after this time, which doubles with each retry up to the
-/// maximum.
+/// A connect that fails for a local reason ([`is_local_failure`]) is retried after this time, which doubles with each
+/// retry up to the maximum.
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(5);
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(20);
 /// Such retries end after this time, or after the connect timeout of the settings if that is longer.
--- a/crates/node/src/upstream/relay/closing.rs
+++ b/crates/node/src/upstream/relay/closing.rs
@@ -18,8 +18,8 @@
 const MOVE_LINE: &[u8] = b"MOVE\r\n";
 
 impl Relay {
-    /// The outcome if a server closes without notice. Servers reply at once, so if a line was just sent, it is that
-    /// line that the server could not parse: guards against blaming the server for the client's input.
+    /// The outcome if a server closes without notice. Servers reply at once, so if a line was just sent, the
+    /// server is assumed to have failed to parse that line: guards against blaming the server for the client's input.
     fn server_close_outcome(&self, context: &NodeContext) -> Outcome {
         let sent_at = context.placement.oldest_unanswered_line(self.request);
         if sent_at.is_some_and(|sent_at| sent_at.elapsed() < SYNTAX_ERROR_WINDOW) {
