--- a/crates/node/src/client/listener.rs
+++ b/crates/node/src/client/listener.rs
@@ -25,7 +25,7 @@
 }
 
 impl Listener {
-    /// Listens on the configured address, or on the inherited socket if there is one.
+    /// Listens only on the configured address, or on the inherited socket if there is one.
     ///
     /// # Errors
     /// If the address cannot be bound or the socket cannot be registered.
