--- a/crates/cluster/src/connection.rs
+++ b/crates/cluster/src/connection.rs
@@ -1,5 +1,5 @@
-//! A TCP connection between two nodes that carries framed messages. Message size, message rate and the bytes that wait to
-//! be written are bounded.
+//! A TCP connection between two nodes that transfers framed messages. Message size, message rate and the send buffer
+//! are bounded.
 
 use crate::frame::{encode_frame, FrameDecoder, FrameError};
 use crate::message::{Handshake, Message};
@@ -12,56 +12,56 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A connection sends something at least this often.
+/// A connection on which nothing was sent for this long sends a ping.
 pub const PING_INTERVAL: Duration = Duration::from_millis(700);
-/// A connection that has received nothing for this long is dead.
+/// A connection on which nothing was received for this long has failed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The bytes that may wait to be written.
+/// The limit of the send buffer.
 const MAX_PENDING_BYTES: usize = 1 << 20;
-/// The bytes that are read in one turn of the event loop; the rest is read in the next one.
+/// The number of bytes read in one turn of the event loop. The next turn reads the rest.
 const MAX_READ_PER_TURN_BYTES: usize = 64 << 10;
 /// The size of a single read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// A peer that sends more messages violates the protocol.
+/// A peer that sends more messages than this violates the protocol.
 const MAX_MESSAGES_PER_SECOND: u32 = 4_000;
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Why a connection has to be closed.
+/// Why a connection must be closed.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// The connection broke or was closed; nobody violated the protocol.
+    /// The connection broke or was closed, without a protocol violation.
     #[error(transparent)]
     Closed(#[from] CloseReason),
-    /// The peer violated the protocol, or a message was not fit to be sent.
+    /// The peer violated the protocol, or a message could not be encoded.
     #[error(transparent)]
     Protocol(#[from] ProtocolViolation),
 }
 
-/// How a connection ended without a violation of the protocol.
+/// The reason why a connection ended without a protocol violation.
 #[derive(Debug, Error)]
 pub enum CloseReason {
     /// The network failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The peer closed the connection.
-    #[error("it was ended")]
+    #[error("peer closed the connection")]
     EndOfStream,
     /// Nothing was received for [`IDLE_TIMEOUT`].
-    #[error("it is silent")]
+    #[error("idle timeout")]
     IdleTimeout,
-    /// The peer reads too slowly.
-    #[error("too much waits to be written")]
+    /// The peer reads too slowly, so the send buffer is full.
+    #[error("send buffer full")]
     SendBufferFull,
 }
 
-/// What was wrong about a message, or about how many there were.
+/// A violation of the protocol by a message or by the message rate.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolViolation {
     /// A frame can't be read or written.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// Too many messages came within one second.
-    #[error("over {MAX_MESSAGES_PER_SECOND} messages in a second")]
+    /// The peer sent too many messages within one second.
+    #[error("more than {MAX_MESSAGES_PER_SECOND} messages within one second")]
     RateExceeded,
 }
 
@@ -77,14 +77,14 @@
     }
 }
 
-/// Which side opened a connection.
+/// The side of a connection: the node that opened or the node that accepted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
     Initiator,
     Acceptor,
 }
 
-/// Counts the messages received in windows of [`RATE_WINDOW`].
+/// Counts the messages received in each window of [`RATE_WINDOW`].
 struct MessageRate {
     window_start: Instant,
     message_count: u32,
@@ -122,7 +122,7 @@
     /// Starts to connect to a node.
     ///
     /// # Errors
-    /// Where the connect fails at once.
+    /// If the connect fails immediately.
     pub fn connect(
         poller: &Rc<Poller>,
         address: SocketAddr,
@@ -132,17 +132,17 @@
         Ok(ClusterConnection::new(stream, Side::Initiator))
     }
 
-    /// Takes over a stream that a listener accepted.
+    /// Creates a connection from a stream that a listener accepted.
     ///
     /// # Errors
-    /// Where the stream can't be made non-blocking or registered.
+    /// If the stream can't be made non-blocking or registered.
     pub fn accept(
         poller: &Rc<Poller>,
         stream: TcpStream,
         key: usize,
     ) -> io::Result<ClusterConnection> {
         stream.set_nonblocking(true)?;
-        // Only the latency suffers without it.
+        // Without it, only latency increases.
         let _ = stream.set_nodelay(true);
         let stream = Registered::new(poller, stream, key, Interest::READ)?;
         Ok(ClusterConnection::new(stream, Side::Acceptor))
@@ -167,17 +167,17 @@
         }
     }
 
-    /// The peer's handshake, once it was accepted with [`ClusterConnection::set_peer`].
+    /// The peer's handshake, once [`ClusterConnection::set_peer`] has recorded it.
     pub fn peer(&self) -> Option<&Handshake> {
         self.peer.as_ref()
     }
 
-    /// Notes the handshake that the peer sent.
+    /// Records the handshake that the peer sent.
     pub fn set_peer(&mut self, handshake: Handshake) {
         self.peer = Some(handshake);
     }
 
-    /// Whether this side opened the connection.
+    /// Returns true if this side opened the connection.
     pub fn is_initiator(&self) -> bool {
         self.side == Side::Initiator
     }
@@ -185,7 +185,7 @@
     /// Queues a message and writes as much as the socket accepts.
     ///
     /// # Errors
-    /// Where the message is too long, too much is queued already, or the network failed.
+    /// If the message is too long, the send buffer is full, or the network failed.
     pub fn send(&mut self, message: &Message) -> Result<(), ConnectionError> {
         let frame = encode_frame(message)?;
         let waiting = self.pending.len() - self.written;
@@ -215,10 +215,10 @@
         self.stream.set_interest(Interest::READ)
     }
 
-    /// Handles readiness of the socket and returns the messages that are complete now.
+    /// Handles readiness of the socket and returns the messages that have arrived completely.
     ///
     /// # Errors
-    /// Where the connection has to be closed; messages that came before in the same turn are dropped.
+    /// If the connection must be closed. Messages that arrived earlier in the same turn are dropped.
     pub fn on_ready(&mut self, is_readable: bool) -> Result<Vec<Message>, ConnectionError> {
         if !self.is_connected {
             self.finish_connect()?;
@@ -268,10 +268,10 @@
         Ok(messages)
     }
 
-    /// Sends a ping if nothing was sent for [`PING_INTERVAL`]; to be called more often than that.
+    /// Sends a ping if nothing was sent for [`PING_INTERVAL`]. Must be called more often than that.
     ///
     /// # Errors
-    /// Where the connection is dead.
+    /// If nothing was received for [`IDLE_TIMEOUT`], or the ping can't be sent.
     pub fn keep_alive(&mut self) -> Result<(), ConnectionError> {
         if self.last_received.elapsed() >= IDLE_TIMEOUT {
             return Err(CloseReason::IdleTimeout.into());
--- a/crates/cluster/src/connection/tests.rs
+++ b/crates/cluster/src/connection/tests.rs
@@ -3,11 +3,11 @@
 use polling::Events;
 use std::net::TcpListener;
 
-/// The poller's keys of the two ends.
+/// The poller keys of the two ends.
 const INITIATOR_KEY: usize = 1;
 const ACCEPTOR_KEY: usize = 2;
 
-/// Two connected ends in one poller.
+/// The two ends of a connection, in one poller.
 struct Pair {
     poller: Rc<Poller>,
     initiator: ClusterConnection,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Handles events until the acceptor has received this many messages.
+    /// Handles events until the acceptor has received `count` messages.
     fn receive(&mut self, count: usize) -> Result<Vec<Message>, ConnectionError> {
         let mut received = Vec::new();
         while received.len() < count {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn messages_sent_before_the_connect_ends_arrive_in_order() {
+fn messages_sent_before_the_connection_is_established_arrive_in_order() {
     let mut pair = Pair::new();
     assert!(pair.initiator.is_initiator());
     assert!(!pair.acceptor.is_initiator());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_end_of_the_stream_is_no_violation() {
+fn the_end_of_the_stream_is_not_a_violation() {
     let mut pair = Pair::new();
     drop(pair.initiator);
     let error = loop {
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn what_waits_to_be_written_is_bounded() {
-    // It is not connected before an event says so, and queues all until then.
+fn the_send_buffer_is_bounded() {
+    // No event has reported the initiator as connected yet, so it queues all messages.
     let mut pair = Pair::new();
     let error = loop {
         if let Err(error) = pair.initiator.send(&payload(MAX_PENDING_BYTES / 10)) {
@@ -97,9 +97,9 @@
 }
 
 #[test]
-fn a_flood_of_messages_is_a_violation() {
+fn an_excessive_message_rate_is_a_violation() {
     let mut pair = Pair::new();
-    // Twice the limit: a window that begins in the middle has too many as well.
+    // Twice the limit, so that a window that starts halfway through also exceeds it.
     let message_count = 2 * MAX_MESSAGES_PER_SECOND + 1;
     for _ in 0..message_count {
         pair.initiator.send(&Message::Ping).unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_fresh_connection_is_alive() {
+fn keep_alive_succeeds_on_a_new_connection() {
     let mut pair = Pair::new();
     pair.initiator.keep_alive().unwrap();
     pair.acceptor.keep_alive().unwrap();
--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/src/frame.rs
@@ -1,5 +1,5 @@
-//! Framing of messages in a byte stream: the body's length (four bytes, big endian), the protocol version (one byte), and
-//! the body, a [`Message`] encoded with postcard.
+//! Framing of messages in a byte stream: the body's length (four bytes, big endian), the protocol version (one byte),
+//! and the body, a [`Message`] encoded with postcard.
 
 use crate::message::Message;
 use crate::PROTOCOL_VERSION;
@@ -13,27 +13,27 @@
 /// Why a frame can't be written or read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The sender speaks another version of the protocol.
-    #[error("it speaks form {received}, this node speaks form {PROTOCOL_VERSION}")]
+    /// The sender uses another version of the protocol.
+    #[error("protocol version {received}, expected {PROTOCOL_VERSION}")]
     VersionMismatch {
         /// The version in the frame's header.
         received: u8,
     },
     /// The body exceeds [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {length} bytes, {MAX_MESSAGE_BYTES} are the most")]
+    #[error("message of {length} bytes exceeds the maximum of {MAX_MESSAGE_BYTES}")]
     TooLong {
         /// The body's length in bytes.
         length: usize,
     },
-    /// The body is no [`Message`].
-    #[error("a message can't be read: {0}")]
+    /// The body is not a valid [`Message`].
+    #[error("undecodable message: {0}")]
     Undecodable(postcard::Error),
     /// The message could not be encoded.
     #[error(transparent)]
     Unencodable(postcard::Error),
 }
 
-/// Extracts whole messages from the bytes of a stream.
+/// Extracts complete messages from the bytes of a stream.
 #[derive(Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
@@ -48,7 +48,7 @@
     /// Removes and returns the next message, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// Where the frame violates the protocol. The stream can't be decoded any further then.
+    /// If the frame violates the protocol. The rest of the stream can't be decoded.
     pub fn next_message(&mut self) -> Result<Option<Message>, FrameError> {
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
@@ -74,7 +74,7 @@
 /// Encodes a message as a frame.
 ///
 /// # Errors
-/// Where the message is longer than [`MAX_MESSAGE_BYTES`].
+/// If the message is longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode_frame(message: &Message) -> Result<Vec<u8>, FrameError> {
     let body = postcard::to_stdvec(message).map_err(FrameError::Unencodable)?;
     if body.len() > MAX_MESSAGE_BYTES {
--- a/crates/cluster/src/frame/tests.rs
+++ b/crates/cluster/src/frame/tests.rs
@@ -17,7 +17,7 @@
 #[case::whole(1_000)]
 #[case::byte_by_byte(1)]
 #[case::odd(7)]
-fn messages_are_decoded_however_the_stream_is_cut(#[case] chunk_size: usize) {
+fn messages_are_decoded_for_any_chunk_size(#[case] chunk_size: usize) {
     let sent = [
         handshake(),
         Message::Ping,
@@ -39,15 +39,15 @@
 }
 
 #[rstest]
-#[case::another_version(|bytes: &mut Vec<u8>| bytes[4] = 9, "form 9, this node speaks form 2")]
-#[case::too_long(|bytes: &mut Vec<u8>| bytes[0] = 1, "262144 are the most")]
-#[case::undecodable(|bytes: &mut Vec<u8>| bytes[5] = 77, "can't be read")]
+#[case::another_version(|bytes: &mut Vec<u8>| bytes[4] = 9, "protocol version 9, expected 2")]
+#[case::too_long(|bytes: &mut Vec<u8>| bytes[0] = 1, "exceeds the maximum of 262144")]
+#[case::undecodable(|bytes: &mut Vec<u8>| bytes[5] = 77, "undecodable message")]
 fn a_malformed_frame_is_an_error_that_names_the_reason(
-    #[case] spoil: fn(&mut Vec<u8>),
+    #[case] corrupt: fn(&mut Vec<u8>),
     #[case] reason: &str,
 ) {
     let mut bytes = encode_frame(&handshake()).unwrap();
-    spoil(&mut bytes);
+    corrupt(&mut bytes);
     let mut decoder = FrameDecoder::default();
     decoder.push(&bytes);
     let error = decoder.next_message().unwrap_err().to_string();
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,9 +1,9 @@
-//! Communication between the nodes of a cluster: [`membership`] finds out over UDP which nodes are alive, and a
-//! [`connection`] carries framed messages between two of them over TCP. What follows from a message is decided by the
-//! callers.
+//! Communication between the nodes of a cluster. [`membership`] detects live nodes over UDP, and a [`connection`]
+//! transfers framed messages between two nodes over TCP. The callers decide how to react to a message.
 //!
-//! Everything on the wire is encoded with postcard: the membership library brings that codec along, and a message takes a
-//! third of its size as JSON. People read the state of a cluster through `lupincrank fleet`, not off the wire.
+//! All data on the wire is encoded with postcard: the membership library includes that codec, and a message takes a
+//! third of its size in JSON. The wire format need not be human-readable, since `lupincrank fleet` prints the cluster's
+//! state.
 
 #![forbid(unsafe_code)]
 
@@ -15,8 +15,8 @@
 /// The version of the protocol, sent with each frame and datagram. A node rejects every other version.
 pub const PROTOCOL_VERSION: u8 = 2;
 
-/// The checksum of a cluster's name that marks its traffic. It guards against a node of another cluster at an address that
-/// was used by this one before.
+/// Returns the checksum of the cluster's name, which marks its traffic. The tag protects against traffic from a node of
+/// another cluster at an address that this cluster used before.
 pub fn cluster_tag(cluster_name: &str) -> u32 {
     crc32fast::hash(cluster_name.as_bytes())
 }
--- a/crates/cluster/src/membership/datagram.rs
+++ b/crates/cluster/src/membership/datagram.rs
@@ -1,11 +1,11 @@
-//! The header of a datagram: two letters that mark the protocol, its version, and the tag of the cluster.
+//! The header of a datagram: two letters that identify the protocol, the protocol version, and the cluster tag.
 
 use crate::PROTOCOL_VERSION;
 use serde::Serialize;
 
-/// The longest datagram: it passes common networks without fragmentation.
+/// The length limit of a datagram, small enough to pass common networks without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The marker, the protocol version and the cluster's tag.
+/// The length of the marker, the protocol version and the cluster tag.
 pub(super) const HEADER_BYTES: usize = 7;
 const MARKER: [u8; 2] = *b"lc";
 
@@ -30,7 +30,7 @@
     ForeignCluster,
 }
 
-/// Prepends the header to what the membership protocol sends.
+/// Prepends the header to a message of the membership protocol.
 pub(super) fn encode(cluster_tag: u32, body: &[u8]) -> Vec<u8> {
     let mut datagram = Vec::with_capacity(HEADER_BYTES + body.len());
     datagram.extend_from_slice(&MARKER);
--- a/crates/cluster/src/membership/identity.rs
+++ b/crates/cluster/src/membership/identity.rs
@@ -1,4 +1,4 @@
-//! A node as membership knows it.
+//! The identity of a node in membership.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -9,34 +9,34 @@
 pub struct Identity {
     /// The node's name. Two incarnations of one name are never members at once.
     pub name: String,
-    /// Drawn at random when the process starts.
+    /// Chosen at random when the process starts.
     #[serde(rename = "id")]
     pub incarnation: u64,
-    /// Orders the processes of one name, the latest one last: when the process started, as Unix time in milliseconds by its
-    /// own clock, or one more than an earlier process's where that clock was late. Comparable only among incarnations of
-    /// one name.
+    /// Orders the processes of one name by start. It is the start time as Unix time in milliseconds by the process's
+    /// own clock. If an earlier process has a greater value because of clock skew, it is raised to that value plus one.
+    /// Comparable only among incarnations of one name.
     #[serde(rename = "born_ms")]
     pub started_at_ms: u64,
-    /// How often this incarnation has rejoined after it was declared dead.
+    /// The number of times that this incarnation has rejoined after it was declared down.
     #[serde(rename = "bump")]
     pub generation: u32,
-    /// Where it receives datagrams and accepts connections.
+    /// The address at which the node receives datagrams and accepts connections.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// The availability zone that it runs in.
+    /// The availability zone of the node.
     pub zone: String,
-    /// The region that it runs in.
+    /// The region of the node.
     pub region: String,
-    /// The version of its build.
+    /// The version of the node's build.
     pub build: String,
-    /// A checksum of the settings that it runs with.
+    /// A checksum of the node's settings.
     #[serde(rename = "settings")]
     pub settings_hash: u32,
 }
 
 impl Identity {
-    /// Whether this is another process of the same name that goes before `other`.
-    pub(super) fn outranks(&self, other: &Identity) -> bool {
+    /// Returns true if this is another process of the same name that takes precedence over `other`.
+    pub(super) fn takes_precedence_over(&self, other: &Identity) -> bool {
         let is_other_process =
             (self.started_at_ms, self.incarnation) != (other.started_at_ms, other.incarnation);
         self.name == other.name
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,5 +1,6 @@
-//! Which nodes are alive: SWIM by the `foca` crate, as a state machine that is driven with time and datagrams from
-//! outside. All times are spans since this process started, by its own monotonic clock.
+//! Gossip membership: detects live nodes with the SWIM protocol of the `foca` crate. The state machine is driven by its
+//! caller, which passes time and datagrams. All times are durations since the start of this process, by its own
+//! monotonic clock.
 
 mod datagram;
 mod identity;
@@ -18,30 +19,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often the seeds are contacted while no other member is known.
+/// The interval at which seed nodes are contacted while no other member is known.
 const ISOLATED_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often they are contacted otherwise, so that two halves of a cluster that have forgotten each other merge again.
+/// The interval at which seed nodes are contacted otherwise, so that two parts of a partitioned cluster merge again
+/// after each has removed the members of the other.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(15);
-/// How often a leaving node gossips its end; the members it reaches pass it on.
+/// The number of gossip rounds that a leaving node sends. The members that receive them gossip the update further.
 const LEAVE_GOSSIP_ROUNDS: usize = 3;
 
-/// An effect to be carried out, or a change to be known.
+/// An effect to execute, or a membership change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipOutput {
-    /// A datagram to be sent.
+    /// A datagram to send.
     Datagram {
-        /// The address that the receiving node has made known.
+        /// The address that the receiving node advertises.
         to: SocketAddr,
-        /// The whole datagram.
+        /// The datagram, including its header.
         bytes: Vec<u8>,
     },
-    /// A node is alive.
+    /// A node is live.
     MemberUp(Identity),
-    /// A node has failed or left.
+    /// A node was declared down or has left.
     MemberDown(Identity),
-    /// This node was declared dead and has rejoined.
+    /// This node was declared down and has rejoined.
     Rejoined {
-        /// How often it has rejoined so far.
+        /// The number of rejoins so far.
         generation: u32,
     },
     /// A later incarnation of this node's name has started.
@@ -53,29 +55,30 @@
 pub struct SeedNode {
     /// The node's name.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The address at which the node receives datagrams.
     pub address: SocketAddr,
 }
 
-/// What membership is told at its start.
+/// The configuration of [`Membership`].
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
     /// The tag of the cluster; see [`crate::cluster_tag`].
     pub cluster_tag: u32,
-    /// The number of nodes that are expected; periods and limits depend on its logarithm.
+    /// The expected number of nodes. Periods and limits depend on its logarithm.
     pub expected_node_count: usize,
     /// Seeds the random choice of members to probe.
     pub random_seed: u64,
-    /// The nodes to contact. An entry with the node's own name is ignored.
+    /// The nodes to contact to join the cluster. An entry with the node's own name is ignored.
     pub seed_nodes: Vec<SeedNode>,
 }
 
-/// The factor from 0.75 to 1.25 by which a node stretches its periods, so that the nodes of a cluster do not act in step.
+/// Returns a factor from 0.75 to 1.25 by which a node multiplies its periods, so that the nodes of a cluster are not
+/// synchronized.
 pub fn jitter_factor(incarnation: u64) -> f64 {
     0.75 + f64::from(incarnation as u8) / 512.0
 }
 
-/// One node's view of which nodes are alive.
+/// The live nodes of the cluster as seen by one node.
 pub struct Membership {
     swim: Foca<Identity, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
     runtime: SwimRuntime,
@@ -83,13 +86,13 @@
     next_announce: Duration,
     jitter: f64,
     name_claim: NameClaim,
-    /// What is received after leaving must not bring this node back.
+    /// Datagrams received after leaving are ignored, since they would make this node rejoin.
     has_left: bool,
     rejected: RejectedDatagrams,
 }
 
 impl Membership {
-    /// Starts without knowing any other member.
+    /// Creates a membership without any other member.
     pub fn new(local: Identity, config: MembershipConfig) -> Membership {
         let seed = u128::from(config.random_seed) << 64 | u128::from(local.incarnation);
         let jitter = jitter_factor(local.incarnation);
@@ -108,13 +111,13 @@
         }
     }
 
-    /// This node as others see it.
+    /// The identity that this node advertises.
     pub fn local_identity(&self) -> &Identity {
         self.swim.identity()
     }
 
-    /// All other nodes that are alive.
-    pub fn alive(&self) -> impl Iterator<Item = &Identity> {
+    /// All other live nodes.
+    pub fn live_members(&self) -> impl Iterator<Item = &Identity> {
         self.swim.iter_members().map(foca::Member::id)
     }
 
@@ -128,14 +131,14 @@
         self.runtime.next_output()
     }
 
-    /// When [`Membership::on_deadline`] has to be called next.
+    /// The time at which [`Membership::on_deadline`] must be called next.
     pub fn next_deadline(&self) -> Duration {
         self.runtime
             .next_timer()
             .map_or(self.next_announce, |due_at| due_at.min(self.next_announce))
     }
 
-    /// Advances time to `now` and fires what is due.
+    /// Advances time to `now` and fires the timers that are due.
     pub fn on_deadline(&mut self, now: Duration) {
         self.runtime.now = now;
         if self.has_left {
@@ -149,7 +152,7 @@
         }
         while let Some(timer) = self.runtime.pop_due_timer() {
             if !self.is_refuted(&timer) {
-                // A timer of an earlier state is refused, which is expected.
+                // Fails for a timer of an earlier state, which is expected.
                 let _ = self.swim.handle_timer(timer, &mut self.runtime);
             }
         }
@@ -166,21 +169,21 @@
                 generation: 0,
                 ..self.swim.identity().clone()
             };
-            // It fails only for this node's own address, and is repeated anyway.
+            // Fails only for this node's own address, and is repeated periodically.
             let _ = self.swim.announce(seed, &mut self.runtime);
         }
     }
 
     fn announce_interval(&self) -> Duration {
-        if self.alive().next().is_none() {
+        if self.live_members().next().is_none() {
             ISOLATED_ANNOUNCE_INTERVAL
         } else {
             ANNOUNCE_INTERVAL
         }
     }
 
-    /// Whether this timer ends a suspicion that was refuted meanwhile. Foca 1.0 leaves such a member as it is, but tells it
-    /// all the same that it is down, which that member believes.
+    /// Returns true if the timer belongs to a suspicion that was refuted. On such a timer, foca 1.0 does not change the
+    /// member's state, but still notifies the member that it is down, which the member accepts.
     fn is_refuted(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -218,7 +221,7 @@
     fn on_swim_message(&mut self, body: &[u8]) {
         let header: Result<Header<Identity>, _> = PostcardCodec.decode_header(body);
         if let Ok(header) = header {
-            self.resolve_names(&header);
+            self.resolve_name_conflicts(&header);
         }
         match self.swim.handle_data(body, &mut self.runtime) {
             Ok(()) => {}
@@ -229,42 +232,42 @@
         }
     }
 
-    /// Sees to it that the latest process of a name is a member, whatever the clocks of both processes say.
-    fn resolve_names(&mut self, header: &Header<Identity>) {
+    /// Ensures that the latest process of a name is a member, whatever the clocks of the processes are.
+    fn resolve_name_conflicts(&mut self, header: &Header<Identity>) {
         let now = self.runtime.now;
         let local = self.swim.identity();
         if header.src.name != local.name {
             self.name_claim.record_contact(now);
         }
-        // The sender takes this process for one that came before it at this address.
-        if header.dst.outranks(local) && self.name_claim.try_raise(now) {
-            self.raise_over(header.dst.started_at_ms);
+        // The sender addressed an earlier process of this name, whose start time is later than that of this one.
+        if header.dst.takes_precedence_over(local) && self.name_claim.try_raise_start_time(now) {
+            self.raise_start_time_above(header.dst.started_at_ms);
         }
         let known = self
             .swim
             .iter_membership_state()
             .map(foca::Member::id)
-            .find(|known| known.outranks(&header.src));
+            .find(|known| known.takes_precedence_over(&header.src));
         if let Some(known) = known.cloned() {
-            self.name_earlier_process(header, known);
+            self.report_preferred_process(header, known);
         }
     }
 
-    /// Goes on as the latest process of this name.
-    fn raise_over(&mut self, started_at_ms: u64) {
+    /// Raises this node's start time above that of an earlier process, to continue as the latest process of its name.
+    fn raise_start_time_above(&mut self, started_at_ms: u64) {
         let identity = Identity {
             started_at_ms: started_at_ms.saturating_add(1),
             generation: 0,
             ..self.swim.identity().clone()
         };
-        // It fails only for the identity that this node has.
+        // Fails only if the identity is unchanged.
         let _ = self.swim.change_identity(identity, &mut self.runtime);
         self.next_announce = self.runtime.now;
     }
 
-    /// Tells the sender which process of its name stands before it: a message for that one, which is at the same address
-    /// or has gone.
-    fn name_earlier_process(&mut self, received: &Header<Identity>, known: Identity) {
+    /// Reports to the sender a process of its name that takes precedence over it. The report is a message addressed to
+    /// that process, which uses the same address or has ended.
+    fn report_preferred_process(&mut self, received: &Header<Identity>, known: Identity) {
         let header = Header {
             src: self.swim.identity().clone(),
             src_incarnation: Incarnation::default(),
@@ -281,23 +284,23 @@
         }
     }
 
-    /// Whether this process has met the cluster only lately: it may still learn of an earlier process of its name, and
-    /// raise its order over that one's.
-    pub fn is_newcomer(&self, now: Duration) -> bool {
-        self.name_claim.is_newcomer(now)
+    /// Returns true if this process has joined the cluster recently or has not joined yet. It may still learn of an
+    /// earlier process of its name, and raise its start time above that of the earlier process.
+    pub fn has_joined_recently(&self, now: Duration) -> bool {
+        self.name_claim.has_joined_recently(now)
     }
 
-    /// Stops taking part without telling anybody, because a later incarnation holds this node's name.
+    /// Stops participating without notifying other members, because a later incarnation uses this node's name.
     pub fn yield_to_newer(&mut self) {
         self.has_left = true;
     }
 
-    /// Leaves the cluster and tells other members, so that they need not detect it.
+    /// Leaves the cluster and notifies other members, so that they need not detect the failure.
     pub fn leave(&mut self, now: Duration) {
         self.runtime.now = now;
         self.runtime.begin_leaving();
         for _ in 0..LEAVE_GOSSIP_ROUNDS {
-            // A failure delays the news; leaving goes on.
+            // A failure only delays the notification.
             let _ = self.swim.gossip(&mut self.runtime);
         }
         let _ = self.swim.leave_cluster(&mut self.runtime);
--- a/crates/cluster/src/membership/name_claim.rs
+++ b/crates/cluster/src/membership/name_claim.rs
@@ -1,43 +1,45 @@
-//! Which of two processes of one name stays a member. The one that started later does, and wall clocks do not tell which one
-//! that is: a process that has met the cluster only lately may raise its order over that of an earlier process, however
-//! late that one's clock was.
+//! Decides which of two processes of one name stays a member: the one that started later. Wall clocks can't decide that
+//! because of clock skew. Therefore a process that has joined the cluster recently may raise its start time above that
+//! of an earlier process, whatever that process's clock was.
 
 use std::time::Duration;
 
-/// For this long after it has met the cluster a process may raise its order: long enough to learn of an earlier process, and
-/// short beside the life of one that another process replaces.
-const NEWCOMER_PERIOD: Duration = Duration::from_secs(10);
-/// Two newcomers of one name raise their orders in turn; not more often than this.
+/// The time after its first contact with the cluster in which a process may raise its start time. It is long enough to
+/// learn of an earlier process, and short compared with the uptime of a process that is replaced.
+const RECENT_JOIN_PERIOD: Duration = Duration::from_secs(10);
+/// The shortest time between two raises by a process. Two joining processes of one name raise their start times in
+/// turn.
 const MIN_RAISE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A process's right to its name.
+/// The claim of a process to its name.
 #[derive(Default)]
 pub(super) struct NameClaim {
-    /// When another node was first heard of.
-    first_contact: Option<Duration>,
-    last_raise: Option<Duration>,
+    /// The time at which the first message from another node was received.
+    first_contact_at: Option<Duration>,
+    last_raised_at: Option<Duration>,
 }
 
 impl NameClaim {
-    /// Another node was heard of.
+    /// Records that a message from another node was received.
     pub(super) fn record_contact(&mut self, now: Duration) {
-        self.first_contact.get_or_insert(now);
+        self.first_contact_at.get_or_insert(now);
     }
 
-    /// Whether this process has met the cluster only lately, or not at all.
-    pub(super) fn is_newcomer(&self, now: Duration) -> bool {
-        self.first_contact
-            .is_none_or(|first_contact| now.saturating_sub(first_contact) < NEWCOMER_PERIOD)
+    /// Returns true if this process has joined the cluster recently or has not joined yet.
+    pub(super) fn has_joined_recently(&self, now: Duration) -> bool {
+        self.first_contact_at.is_none_or(|first_contact_at| {
+            now.saturating_sub(first_contact_at) < RECENT_JOIN_PERIOD
+        })
     }
 
-    /// Whether the order may be raised now; it counts as raised then.
-    pub(super) fn try_raise(&mut self, now: Duration) -> bool {
+    /// Returns true if the start time may be raised now, and records the raise.
+    pub(super) fn try_raise_start_time(&mut self, now: Duration) -> bool {
         let is_due = self
-            .last_raise
-            .is_none_or(|last_raise| now.saturating_sub(last_raise) >= MIN_RAISE_INTERVAL);
-        let may_raise = is_due && self.is_newcomer(now);
+            .last_raised_at
+            .is_none_or(|last_raised_at| now.saturating_sub(last_raised_at) >= MIN_RAISE_INTERVAL);
+        let may_raise = is_due && self.has_joined_recently(now);
         if may_raise {
-            self.last_raise = Some(now);
+            self.last_raised_at = Some(now);
         }
         may_raise
     }
--- a/crates/cluster/src/membership/runtime.rs
+++ b/crates/cluster/src/membership/runtime.rs
@@ -1,4 +1,4 @@
-//! What the SWIM implementation acts on: it queues outputs and timers, which [`super::Membership`] carries on with.
+//! The environment of the SWIM implementation. It queues the outputs and timers, which [`super::Membership`] processes.
 
 use super::datagram;
 use super::{Identity, MembershipOutput};
@@ -6,21 +6,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// More returns within [`REJOIN_WINDOW`] mean that another incarnation holds this name: an honest return takes longer,
-/// because a suspicion precedes it, while each return under a contested name is refused at once.
+/// More rejoins than this within [`REJOIN_WINDOW`] indicate that another incarnation uses this name. An ordinary rejoin
+/// takes longer, because a suspicion precedes it, whereas each rejoin under a contested name is rejected immediately.
 pub(super) const MAX_REJOINS_PER_WINDOW: u32 = 3;
 const REJOIN_WINDOW: Duration = Duration::from_secs(1);
-/// The timers that may be pending: a few for each member. Later ones are dropped.
+/// The number of timers that may be pending: a few for each member. Further timers are dropped.
 const MAX_PENDING_TIMERS: usize = 16 << 10;
 
-/// Orders timers by when they are due, and then by when they were set.
+/// Orders timers by due time, and then in the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due_at: Duration,
     sequence: u64,
 }
 
-/// Counts how often this incarnation rejoined within one window.
+/// Counts the rejoins of this incarnation within one window.
 #[derive(Default)]
 struct RejoinCounter {
     window_start: Duration,
@@ -28,7 +28,7 @@
 }
 
 impl RejoinCounter {
-    /// Records a return and tells whether there were too many.
+    /// Records a rejoin. Returns true if there were too many in the window.
     fn record(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.window_start) >= REJOIN_WINDOW {
             self.window_start = now;
@@ -72,7 +72,7 @@
         self.outputs.pop_front()
     }
 
-    /// When the earliest timer is due.
+    /// The due time of the earliest timer.
     pub(super) fn next_timer(&self) -> Option<Duration> {
         self.timers.keys().next().map(|key| key.due_at)
     }
@@ -90,12 +90,12 @@
         self.timers.clear();
     }
 
-    /// This node leaves of its own accord.
+    /// Records that this node leaves the cluster voluntarily.
     pub(super) fn begin_leaving(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Whether another incarnation turned out to hold this name since the last call.
+    /// Returns true if the rejoins since the last call indicate that another incarnation uses this name.
     pub(super) fn take_name_contested(&mut self) -> bool {
         std::mem::take(&mut self.is_name_contested)
     }
@@ -110,7 +110,7 @@
             Notification::MemberDown(member) => {
                 self.push_output(MembershipOutput::MemberDown(member.clone()));
             }
-            // Another incarnation of a name replaces the one before.
+            // Another incarnation of a name replaces the previous one.
             Notification::Rename(before, after) => {
                 self.push_output(MembershipOutput::MemberDown(before.clone()));
                 self.push_output(MembershipOutput::MemberUp(after.clone()));
@@ -121,7 +121,7 @@
                     generation: local.generation,
                 });
             }
-            // A leave of this node's own ends in the same notification as a later incarnation of its name.
+            // A voluntary leave and a later incarnation of this node's name cause the same notification.
             Notification::Defunct if self.is_leaving => {}
             Notification::Defunct => self.push_output(MembershipOutput::Replaced),
             Notification::Active | Notification::Idle => {}
--- a/crates/cluster/src/membership/swim_config.rs
+++ b/crates/cluster/src/membership/swim_config.rs
@@ -7,24 +7,24 @@
 
 /// One member is probed in each period.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// How long a direct probe may take before others are asked to probe the member too.
+/// The time after which an unanswered direct probe is followed by indirect probes through other members.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
-/// How many others are asked.
 const INDIRECT_PROBE_COUNT: usize = 3;
-/// How long a member that answered nobody is suspected before it is declared dead; it may refute that meanwhile. Grows
-/// with the logarithm of the cluster's size, as gossip takes longer.
+/// The time for which an unresponsive member is suspected, and may refute the suspicion, before it is declared down. It
+/// grows with the logarithm of the cluster size, since gossip then takes longer.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A dead member is forgotten after this. Until then it is asked now and then, in case it was only cut off.
-const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(120);
-const DEAD_MEMBER_PROBE_INTERVAL: Duration = Duration::from_secs(2);
-const DEAD_MEMBER_PROBE_COUNT: usize = 2;
+/// The time after which a member that was declared down is removed. Until then it is contacted periodically, in case a
+/// network partition has ended.
+const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(120);
+const DOWN_MEMBER_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
+const DOWN_MEMBER_ANNOUNCE_COUNT: usize = 2;
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
 const GOSSIP_FANOUT: usize = 3;
-/// How often an update is passed on; grows with the logarithm of the cluster's size up to the maximum.
+/// The number of times that an update is gossiped. It grows with the logarithm of the cluster size up to the maximum.
 const BASE_TRANSMISSIONS: f64 = 15.0;
 const MAX_TRANSMISSIONS: f64 = 60.0;
 
-/// The configuration for a cluster of about this many nodes.
+/// Returns the configuration for a cluster of about `expected_node_count` nodes.
 pub(super) fn for_cluster_size(expected_node_count: usize) -> Config {
     let growth = f64::max(1.0, (expected_node_count.max(1) as f64).log10());
     let transmissions = (BASE_TRANSMISSIONS * growth).min(MAX_TRANSMISSIONS) as u8;
@@ -34,13 +34,13 @@
         num_indirect_probes: non_zero(INDIRECT_PROBE_COUNT),
         max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: SUSPICION_TIMEOUT.mul_f64(growth),
-        remove_down_after: DEAD_MEMBER_RETENTION,
+        remove_down_after: DOWN_MEMBER_RETENTION,
         max_packet_size: non_zero(MAX_DATAGRAM_BYTES - HEADER_BYTES),
         notify_down_members: true,
         periodic_announce: None,
         periodic_announce_to_down_members: periodic(
-            DEAD_MEMBER_PROBE_INTERVAL,
-            DEAD_MEMBER_PROBE_COUNT,
+            DOWN_MEMBER_ANNOUNCE_INTERVAL,
+            DOWN_MEMBER_ANNOUNCE_COUNT,
         ),
         periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_FANOUT),
     }
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The first message of each side: who it is.
+/// The first message of each side: the sender's identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
     /// The tag of the sender's cluster; see [`crate::cluster_tag`].
     pub cluster_tag: u32,
     /// The sender's node name.
     pub name: String,
-    /// The incarnation of that name: drawn at random when its process starts.
+    /// The sender's incarnation, chosen at random when its process starts.
     pub incarnation: u64,
-    /// When that incarnation started, as Unix time in milliseconds by its own clock. Comparable only among incarnations of
-    /// one name.
+    /// The start time of the incarnation, as Unix time in milliseconds by its own clock. Comparable only among
+    /// incarnations of one name.
     pub started_at_ms: u64,
-    /// The version of the build that the sender runs.
+    /// The version of the sender's build.
     pub build: String,
 }
 
@@ -23,11 +23,11 @@
 pub enum Message {
     /// The first message of each side.
     Handshake(Handshake),
-    /// Keeps an idle connection alive.
+    /// Prevents the idle timeout of a connection.
     Ping,
-    /// A later incarnation of the receiver's name has started: the receiver is no member of the cluster any more.
+    /// A later incarnation of the receiver's name has started, so the receiver is not a member of the cluster.
     Replaced,
-    /// An encoded message of one of the protocols above this one.
+    /// An encoded message of a higher-level protocol.
     Payload(Subject, Vec<u8>),
 }
 
--- a/crates/cluster/tests/wire_fixtures.rs
+++ b/crates/cluster/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! The bytes between nodes stay as they are: the files under `fixtures` were written by revision c925b3d, and each is read
-//! into the same values and written to the same bytes.
+//! Checks that the wire format between nodes is stable. The files under `fixtures` were written by revision c925b3d.
+//! Each must decode to the same values, and encode to the same bytes.
 
 use lupincrank_cluster::cluster_tag;
 use lupincrank_cluster::frame::{encode_frame, FrameDecoder};
@@ -69,7 +69,7 @@
     assert_eq!(postcard::to_stdvec(&expected).unwrap(), fixture);
 }
 
-/// `lupincrank fleet members` prints identities in this form.
+/// `lupincrank fleet members` prints identities in this format.
 #[test]
 fn an_identity_keeps_its_keys_in_json() {
     let expected = r#"{"name":"n0","id":100,"born_ms":1700000000000,"bump":0,"at":"127.0.0.1:7000","zone":"a","region":"guj","build":"0.1.0","settings":3735928559}"#;
@@ -140,5 +140,5 @@
         include_bytes!("fixtures/leave.datagram"),
     );
     assert!(drain(&mut remaining).contains(&MembershipOutput::MemberDown(identity(0))));
-    assert_eq!(remaining.alive().count(), 0);
+    assert_eq!(remaining.live_members().count(), 0);
 }
--- a/crates/node/src/cluster_agent/agent.rs
+++ b/crates/node/src/cluster_agent/agent.rs
@@ -1,5 +1,5 @@
-//! The cluster agent: it owns membership, the control node, the connections and the storage of this node, and passes
-//! between them what they have for each other.
+//! The cluster agent. It owns the membership, the control node, the peer connections and the storage of this node, and
+//! passes events between them.
 
 use super::config::ClusterConfig;
 use super::connections::PeerConnections;
@@ -22,22 +22,22 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A node bootstraps no control group before it has looked for one for this long.
+/// The time for which a node searches for a control group before it bootstraps one.
 const BOOTSTRAP_GRACE: Duration = Duration::from_millis(1500);
-/// A member that has been dead for this long is removed from the control group.
+/// The time for which a member must be unreachable before it is removed from the control group.
 const MEMBER_REMOVAL_DELAY: Duration = Duration::from_secs(2);
-/// How long a leaving node waits at most until others have released it.
+/// The longest time for which a leaving node waits until the control group has released it.
 const MAX_LEAVE_DURATION: Duration = Duration::from_secs(3);
-/// Rejected traffic is logged at most this often.
+/// The shortest time between two log lines about rejected traffic.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Where an incarnation is reached.
+/// The name and the advertised address of an incarnation.
 pub(super) struct PeerAddress {
     pub(super) name: String,
     pub(super) address: SocketAddr,
 }
 
-/// What was sent to other nodes so far, datagrams and messages of the control group together.
+/// The traffic sent to other nodes since the start: datagrams and messages of the control group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct SentTraffic {
     pub(super) bytes: u64,
@@ -51,36 +51,36 @@
     }
 }
 
-/// Traffic that was rejected beside datagrams.
+/// Rejected messages and connections. Membership counts rejected datagrams.
 #[derive(Default)]
 struct Rejections {
     count: u64,
     last_logged: Option<Instant>,
 }
 
-/// The thread that writes to the storage file, and the socket on which it reports.
+/// The thread that writes to the storage file, and the socket that signals its events.
 struct Storage {
     writer: StorageWriter,
-    /// Registered for as long as the storage is in use.
+    /// Stays registered with the event loop while the storage is in use.
     _wake_receiver: Registered<UnixStream>,
 }
 
-/// Who a node is when its agent starts.
+/// The identity with which an agent starts.
 pub(super) struct LocalNode<'a> {
     pub(super) name: &'a str,
-    /// Drawn for this process, or continued from the stored state.
+    /// Chosen at random for this process, or resumed from the stored state.
     pub(super) incarnation: u64,
     pub(super) settings_hash: u32,
-    /// What earlier processes of this identity left.
+    /// The state that earlier processes of this identity stored.
     pub(super) stored: Option<&'a DurableState>,
 }
 
-/// A node's part in its cluster.
+/// The participation of this node in its cluster.
 pub struct ClusterAgent {
     pub(super) config: ClusterConfig,
     pub(super) control: ControlNode,
     pub(super) membership: Membership,
-    /// Given up when this node has left.
+    /// `None` before the agent runs and after this node has left.
     pub(super) sockets: Option<ClusterSockets>,
     storage: Option<Storage>,
     pub(super) connections: PeerConnections,
@@ -95,10 +95,10 @@
 }
 
 impl ClusterAgent {
-    /// The agent of a process that starts now.
+    /// Creates the agent of a process that starts now. It has no sockets and no storage yet.
     ///
     /// # Errors
-    /// Where the stored state contradicts itself.
+    /// If the stored state is inconsistent.
     pub(super) fn new(
         config: ClusterConfig,
         local: &LocalNode,
@@ -107,10 +107,10 @@
     ) -> Result<ClusterAgent, ControlError> {
         let cluster_tag = lupincrank_cluster::cluster_tag(&config.cluster_name);
         let identity = local_identity(&config, local);
-        let handshake = handshake_of(&identity, cluster_tag);
+        let handshake = local_handshake(&identity, cluster_tag);
         let control = ControlNode::new(
             now,
-            member_of(&identity),
+            control_member(&identity),
             control_config(&config),
             local.stored,
         )?;
@@ -149,7 +149,7 @@
         &mut self.control
     }
 
-    /// Which nodes are alive.
+    /// The gossip membership of this node.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
@@ -162,12 +162,12 @@
         &mut self.connections
     }
 
-    /// Membership's clock: the time since this agent started.
+    /// The time since this agent started, which is membership's clock.
     pub(super) fn uptime(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// When membership has something to do next.
+    /// The time at which membership has to be called next.
     pub(super) fn next_membership_deadline(&self) -> Instant {
         self.started_at + self.membership.next_deadline()
     }
@@ -177,7 +177,7 @@
         self.rejections.count
     }
 
-    /// Counts rejected traffic and logs it now and then.
+    /// Counts rejected traffic, and logs it at a limited rate.
     pub(super) fn record_rejection(
         &mut self,
         subject: &'static str,
@@ -185,14 +185,14 @@
     ) {
         self.rejections.count += 1;
         let last_logged = self.rejections.last_logged;
-        if last_logged.is_none_or(|at| at.elapsed() >= REJECTION_LOG_INTERVAL) {
+        if last_logged.is_none_or(|time| time.elapsed() >= REJECTION_LOG_INTERVAL) {
             self.rejections.last_logged = Some(Instant::now());
             warn!(self.log, "cluster traffic rejected"; "subject" => subject, "error" => %error,
                 "count" => self.rejections.count);
         }
     }
 
-    /// Uses this storage from now on.
+    /// Starts to use a storage.
     pub(super) fn attach_storage(
         &mut self,
         writer: StorageWriter,
@@ -204,7 +204,7 @@
         });
     }
 
-    /// The storage has completed writes.
+    /// Handles the events that the storage has reported.
     pub(super) fn on_storage_ready(&mut self, now: Timestamp) {
         if let Some(storage) = &mut self.storage {
             storage.writer.clear_wake_up();
@@ -232,7 +232,8 @@
         }
     }
 
-    /// What was promised before is stored; this process promises nothing more.
+    /// All earlier promises (votes, acknowledged log entries) are stored. Without storage, this process makes no
+    /// further ones.
     fn on_storage_lost(&mut self, now: Timestamp, error: &StorageWriteError) {
         warn!(self.log, "control storage lost"; "error" => %error);
         self.storage = None;
@@ -242,7 +243,7 @@
     /// Handles readiness of a connection's socket.
     ///
     /// # Errors
-    /// Where the connection has to be closed.
+    /// If the connection must be closed.
     pub(super) fn on_connection_ready(
         &mut self,
         now: Timestamp,
@@ -270,8 +271,9 @@
             (_, None) => Err(PeerError::MissingHandshake),
             (Message::Ping, Some(_)) => Ok(()),
             (Message::Replaced, Some(_)) => {
-                // A newcomer may not be known to the sender yet; it is told again where it was replaced indeed.
-                if !self.membership.is_newcomer(self.uptime()) {
+                // The sender may not know a process that has joined recently. If this process was really replaced, the
+                // notice is repeated.
+                if !self.membership.has_joined_recently(self.uptime()) {
                     self.on_replaced();
                 }
                 Ok(())
@@ -285,8 +287,8 @@
         }
     }
 
-    /// A later process of this name has started. The floor of the budget belongs to the name: two processes that used it
-    /// would exceed the budget.
+    /// Withdraws from the cluster, because a later process of this name has started. The floor of the budget belongs to
+    /// the name: two processes that both used it would exceed the budget.
     pub(super) fn on_replaced(&mut self) {
         if self.is_replaced {
             return;
@@ -303,18 +305,19 @@
         self.is_replaced
     }
 
-    /// Starts to leave: leases are given back, and the node stays for a while for those that need its vote.
+    /// Starts to leave: leases are returned, and the node stays for a limited time because its vote may be needed.
     pub(super) fn begin_leaving(&mut self, now: Timestamp) {
         self.leaving_since.get_or_insert_with(Instant::now);
         self.control.begin_leaving(now);
     }
 
-    /// Whether this node has left, so that its process may exit.
+    /// Returns true if this node has left the cluster, so that its process may exit.
     pub fn has_left(&self) -> bool {
         self.sockets.is_none()
     }
 
-    /// Leaves once nobody needs this node any more or it has waited for long enough; true from then on.
+    /// Leaves once the control group has released this node or [`MAX_LEAVE_DURATION`] has passed. Returns true if this
+    /// node has left.
     pub(super) fn leave_if_due(&mut self) -> bool {
         let Some(since) = self.leaving_since else {
             return false;
@@ -350,8 +353,8 @@
     }
 }
 
-/// What this node sends first on each connection.
-fn handshake_of(identity: &Identity, cluster_tag: u32) -> Handshake {
+/// The first message that this node sends on each connection.
+fn local_handshake(identity: &Identity, cluster_tag: u32) -> Handshake {
     Handshake {
         cluster_tag,
         name: identity.name.clone(),
@@ -373,8 +376,8 @@
     }
 }
 
-/// A node as the control group knows it.
-pub(super) fn member_of(identity: &Identity) -> Member {
+/// The control group's description of a node.
+pub(super) fn control_member(identity: &Identity) -> Member {
     Member {
         id: identity.incarnation,
         name: identity.name.clone(),
--- a/crates/node/src/cluster_agent/backoff.rs
+++ b/crates/node/src/cluster_agent/backoff.rs
@@ -1,14 +1,14 @@
-//! The pauses between attempts to connect to a node.
+//! Exponential backoff between attempts to connect to a node.
 
 use std::time::{Duration, Instant};
 
-/// The pause after the first failure; it doubles with each further one.
+/// The pause after the first failure. It doubles with each further failure.
 const RECONNECT_BACKOFF_MIN: Duration = Duration::from_millis(200);
 const RECONNECT_BACKOFF_MAX: Duration = Duration::from_secs(4);
-/// After this many doublings the pause exceeds the maximum anyway.
+/// The limit on doublings, after which the pause exceeds the maximum anyway.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The state of the attempts to connect to one node since the last success.
+/// The failed attempts to connect to one node since the last success.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReconnectBackoff {
     retry_at: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl ReconnectBackoff {
-    /// The state after one more failure. `jitter` stretches the pause.
+    /// Returns the state after one more failure. The pause is multiplied by `jitter`.
     pub(super) fn after_failure(previous: Option<ReconnectBackoff>, jitter: f64) -> Self {
         let earlier_failures = previous.map_or(0, |backoff| backoff.failure_count);
         let pause = RECONNECT_BACKOFF_MIN
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether the pause is over.
+    /// Returns true if the pause is over.
     pub(super) fn may_retry(self, now: Instant) -> bool {
         now >= self.retry_at
     }
--- a/crates/node/src/cluster_agent/commands.rs
+++ b/crates/node/src/cluster_agent/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands `fleet` and `budgets`.
+//! The admin commands `fleet` and `budgets`.
 
 use super::control_actions::BUDGET_NAME;
 use super::driver::with_agent;
@@ -14,15 +14,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FleetCommandError {
     /// No cluster is configured.
-    #[error("this node was started without a fleet")]
+    #[error("no [fleet] is configured on this node")]
     NotConfigured,
-    /// The agent waits for its address or its storage.
-    #[error("this process waits for its place in the fleet, which another one holds")]
+    /// The agent is waiting for its address or its storage.
+    #[error("the cluster agent has not started; it is waiting for its address or storage")]
     NotStarted,
     /// There is no such command.
-    #[error("no call fleet {command:?}; there are status, members, log and reseed")]
+    #[error("unknown fleet command {command:?}; the commands are status, members, log and reseed")]
     UnknownCommand {
-        /// What was asked for.
+        /// The requested command.
         command: String,
     },
     /// The control node rejected it.
@@ -34,34 +34,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BudgetCommandError {
     /// No budget is configured, or the agent has not started.
-    #[error("this node divides no budget with a fleet, or waits for its place there")]
+    #[error("this node shares no budget with a cluster, or its cluster agent has not started")]
     NotDistributed,
     /// There is no such command.
-    #[error("there are show, plan NAME=CAPACITY and set NAME=CAPACITY")]
+    #[error(
+        "unknown budgets command; the commands are show, plan NAME=CAPACITY and set NAME=CAPACITY"
+    )]
     UnknownCommand,
     /// The command needs a budget and a capacity.
-    #[error("it needs NAME=CAPACITY, as in cold=60")]
+    #[error("missing argument NAME=CAPACITY, for example cold=60")]
     MissingChange,
-    /// The argument is of another form.
-    #[error("{change:?} is not NAME=CAPACITY")]
+    /// The argument is malformed.
+    #[error("{change:?} is not of the form NAME=CAPACITY")]
     MalformedChange {
         /// The argument.
         change: String,
     },
     /// There is no such budget.
-    #[error("no budget {name:?}; there is {BUDGET_NAME}")]
+    #[error("unknown budget {name:?}; the only budget is {BUDGET_NAME}")]
     UnknownBudget {
         /// The name in the argument.
         name: String,
     },
-    /// The capacity is no number, or out of range.
-    #[error("{change:?}: 1 to {MAX_CAPACITY} are a capacity")]
+    /// The capacity is not a number or out of range.
+    #[error("{change:?}: the capacity must be a number from 1 to {MAX_CAPACITY}")]
     InvalidCapacity {
         /// The argument.
         change: String,
     },
     /// The capacity does not cover the floors of all nodes.
-    #[error("{change:?}: {reserved} are set aside as floors")]
+    #[error("{change:?}: the capacity is below the {reserved} reserved for floors")]
     BelowReservedCapacity {
         /// The argument.
         change: String,
@@ -76,7 +78,7 @@
 /// Runs a `fleet` command and returns its answer as JSON.
 ///
 /// # Errors
-/// Where there is no such command, or it can't be carried out now.
+/// If the command is unknown or can't be executed now.
 pub fn run_fleet_command(
     context: &mut NodeContext,
     command: &str,
@@ -104,7 +106,7 @@
     answer
 }
 
-/// A `budgets` command. Capacities are those handed out by leases.
+/// A `budgets` command. Its capacity is what leases distribute, without the floors.
 enum BudgetCommand {
     Show,
     Plan { leased_capacity: u32 },
@@ -130,7 +132,7 @@
     }
 }
 
-/// Reads `NAME=CAPACITY` and returns what of the capacity is handed out by leases.
+/// Parses `NAME=CAPACITY` and returns the capacity that remains for leases after the `reserved` floors.
 fn parse_change(change: Option<&str>, reserved: u32) -> Result<u32, BudgetCommandError> {
     let change = change.ok_or(BudgetCommandError::MissingChange)?;
     let Some((name, capacity)) = change.split_once('=') else {
@@ -161,7 +163,7 @@
 /// Runs a `budgets` command: `show`, or `plan` and `set` with a change `NAME=CAPACITY`. Returns its answer as JSON.
 ///
 /// # Errors
-/// Where there is no such command, the change is not valid, or it can't be carried out now.
+/// If the command is unknown, the change is invalid, or the command can't be executed now.
 pub fn run_budget_command(
     context: &mut NodeContext,
     command: &str,
--- a/crates/node/src/cluster_agent/commands/tests.rs
+++ b/crates/node/src/cluster_agent/commands/tests.rs
@@ -1,23 +1,35 @@
 use super::*;
 use rstest::rstest;
 
-/// What is reserved for floors in these tests.
+/// The capacity reserved for floors in these tests.
 const RESERVED: u32 = 6;
 
 #[test]
-fn a_change_names_the_whole_capacity_and_leases_the_rest() {
+fn a_change_names_the_total_capacity_and_leases_get_the_rest() {
     assert_eq!(parse_change(Some("cold=60"), RESERVED), Ok(54));
     assert_eq!(parse_change(Some("cold=6"), RESERVED), Ok(0));
 }
 
 #[rstest]
-#[case::none(None, "it needs NAME=CAPACITY, as in cold=60")]
-#[case::no_capacity(Some("cold"), "\"cold\" is not NAME=CAPACITY")]
-#[case::other_budget(Some("warm=60"), "no budget \"warm\"; there is cold")]
-#[case::no_number(Some("cold=many"), "\"cold=many\": 1 to 1000000 are a capacity")]
-#[case::zero(Some("cold=0"), "\"cold=0\": 1 to 1000000 are a capacity")]
-#[case::too_much(Some("cold=1000001"), "\"cold=1000001\": 1 to 1000000 are a capacity")]
-#[case::below_the_floors(Some("cold=5"), "\"cold=5\": 6 are set aside as floors")]
+#[case::none(None, "missing argument NAME=CAPACITY, for example cold=60")]
+#[case::no_capacity(Some("cold"), "\"cold\" is not of the form NAME=CAPACITY")]
+#[case::other_budget(Some("warm=60"), "unknown budget \"warm\"; the only budget is cold")]
+#[case::no_number(
+    Some("cold=many"),
+    "\"cold=many\": the capacity must be a number from 1 to 1000000"
+)]
+#[case::zero(
+    Some("cold=0"),
+    "\"cold=0\": the capacity must be a number from 1 to 1000000"
+)]
+#[case::too_much(
+    Some("cold=1000001"),
+    "\"cold=1000001\": the capacity must be a number from 1 to 1000000"
+)]
+#[case::below_the_floors(
+    Some("cold=5"),
+    "\"cold=5\": the capacity is below the 6 reserved for floors"
+)]
 fn an_invalid_change_is_rejected_with_the_reason(
     #[case] change: Option<&str>,
     #[case] message: &str,
--- a/crates/node/src/cluster_agent/config.rs
+++ b/crates/node/src/cluster_agent/config.rs
@@ -1,4 +1,4 @@
-//! The cluster as the operator's file and the environment describe it to this node.
+//! The cluster settings of this node, read from the operator's file and the environment.
 
 use lupincrank_cluster::membership::SeedNode;
 use lupincrank_operator_config::{FleetConfig, OperatorConfig};
@@ -11,21 +11,21 @@
 const LISTEN_VARIABLE: &str = "RELAY_FLEET";
 const ZONE_VARIABLE: &str = "RELAY_ZONE";
 
-/// Why the operator's file or the environment does not fit this node.
+/// Why the operator's file or the environment is invalid for this node.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ClusterConfigError {
-    /// The variable holds no socket address.
+    /// The value of the variable is not a socket address.
     #[error("{LISTEN_VARIABLE}: {value:?} is not an address:port")]
     InvalidListenAddress {
-        /// What it holds.
+        /// The value of the variable.
         value: String,
     },
-    /// Nothing says where to listen.
+    /// No address to listen on is configured.
     #[error("neither {LISTEN_VARIABLE} nor fleet.listen is set")]
     MissingListenAddress,
-    /// The storage file is named after the node, whose name does not allow that.
+    /// The storage file is named after the node, whose name is not valid in a file name.
     #[error(
-        "fleet.folder: {node_name:?} can't be a part of a file's name: letters, digits, . _ - can"
+        "fleet.folder: node name {node_name:?} is invalid in a file name; allowed are letters, digits, . _ -"
     )]
     NodeNameUnfitForFile {
         /// The node's name.
@@ -33,45 +33,46 @@
     },
 }
 
-/// The cluster as this node takes part in it.
+/// The settings with which this node participates in its cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
     /// The cluster's name.
     pub cluster_name: String,
     /// The names of all expected nodes.
     pub expected_nodes: BTreeSet<String>,
-    /// Where this node receives datagrams and accepts connections.
+    /// The address at which this node receives datagrams and accepts connections.
     pub listen_address: SocketAddr,
-    /// The availability zone that it runs in.
+    /// The availability zone of this node.
     pub zone: String,
-    /// The region that it runs in.
+    /// The region of this node.
     pub region: String,
-    /// The file that keeps log and vote, where a directory is configured.
+    /// The file that stores the control group's log and vote, if a directory is configured.
     pub storage_file: Option<PathBuf>,
-    /// The nodes that are contacted first.
+    /// The nodes that are contacted to join the cluster.
     pub seed_nodes: Vec<SeedNode>,
-    /// Where other nodes are reached, if not at the addresses that they make known.
+    /// Addresses to use in place of those that other nodes advertise.
     pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
-    /// The slow-start budget, where the cluster distributes one.
+    /// The slow-start budget, if the cluster distributes one.
     pub slow_start_budget: Option<SlowStartBudget>,
 }
 
 /// The slow-start budget, in new connections to warming servers in any accounting window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartBudget {
-    /// What is handed out by leases.
+    /// The capacity that leases distribute.
     pub leased_capacity: u32,
-    /// What this node may use without a lease; 0 for a node that is not expected.
+    /// The capacity that this node may use without a lease; 0 for a node that is not expected.
     pub floor: u32,
-    /// What is set aside for the floors of all expected nodes.
+    /// The capacity reserved for the floors of all expected nodes.
     pub reserved_capacity: u32,
 }
 
 impl ClusterConfig {
-    /// Reads the configuration for a node, or `None` where there is no cluster. `variable` looks up the environment.
+    /// Reads the settings of a node. Returns `None` if no cluster is configured. `variable` looks up environment
+    /// variables.
     ///
     /// # Errors
-    /// Where the file or the environment does not fit this node.
+    /// If the file or the environment is invalid for this node.
     pub fn from_operator(
         operator: &OperatorConfig,
         node_name: &str,
@@ -95,7 +96,7 @@
         }))
     }
 
-    /// Where a node is reached that has made this address known.
+    /// The address at which to contact a node that advertises `advertised`.
     pub fn reachable_address(&self, advertised: SocketAddr) -> SocketAddr {
         self.address_overrides
             .get(&advertised)
@@ -152,7 +153,7 @@
     let floor = budget.floor;
     let node_count = u32::try_from(expected_nodes.len()).unwrap_or(u32::MAX);
     let reserved_capacity = floor * node_count;
-    // Nothing was set aside for a node that is not expected.
+    // No floor is reserved for a node that is not expected.
     let is_expected = expected_nodes.contains(node_name);
     Some(SlowStartBudget {
         leased_capacity: budget.capacity.saturating_sub(reserved_capacity),
--- a/crates/node/src/cluster_agent/config/tests.rs
+++ b/crates/node/src/cluster_agent/config/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_file_is_used_where_no_variable_is_set() {
+fn the_file_is_used_if_no_variable_is_set() {
     let config = config_of("n0", &[]).unwrap();
     assert_eq!(config.cluster_name, "guj");
     assert_eq!(config.listen_address, "127.0.0.1:7000".parse().unwrap());
@@ -74,9 +74,9 @@
 #[case::name(
     "n/0",
     &[],
-    "fleet.folder: \"n/0\" can't be a part of a file's name: letters, digits, . _ - can"
+    "fleet.folder: node name \"n/0\" is invalid in a file name; allowed are letters, digits, . _ -"
 )]
-fn an_unfit_value_is_named(
+fn an_invalid_value_is_rejected_with_its_name_and_value(
     #[case] node_name: &str,
     #[case] variables: &[(&str, &str)],
     #[case] message: &str,
--- a/crates/node/src/cluster_agent/connections.rs
+++ b/crates/node/src/cluster_agent/connections.rs
@@ -1,5 +1,5 @@
-//! All connections to other nodes: at most one stays for each incarnation, and the ones that are needed are opened again
-//! after a failure.
+//! The connections to other nodes. At most one connection is kept for each incarnation, and those that are needed are
+//! reopened after a failure.
 
 use super::backoff::ReconnectBackoff;
 use super::peer_connection::{PeerConnection, PeerError};
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// Beyond two connections for each expected node, and these for unexpected ones, none is accepted.
+/// The number of connections allowed for unexpected nodes, in addition to two for each expected node.
 const SPARE_CONNECTIONS: usize = 16;
 
-/// A connection that failed and has to be closed.
+/// A connection that failed and must be closed.
 pub(super) struct FailedConnection {
     pub(super) id: ComponentId,
     pub(super) error: PeerError,
@@ -24,7 +24,7 @@
     local: Handshake,
     open: BTreeMap<ComponentId, PeerConnection>,
     backoffs: BTreeMap<u64, ReconnectBackoff>,
-    /// Connections that are closed, but whose components have not been told.
+    /// Closed connections whose components have not been notified.
     closed: Vec<ComponentId>,
     max_count: usize,
     jitter: f64,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether one more connection may be accepted.
+    /// Returns true if another connection may be accepted.
     pub(super) fn has_room(&self) -> bool {
         self.open.len() < self.max_count
     }
@@ -58,7 +58,7 @@
         self.open.contains_key(&id)
     }
 
-    /// The number of connections whose peer is known.
+    /// The number of connections whose peer has sent a valid handshake.
     pub(super) fn established_count(&self) -> usize {
         self.open
             .values()
@@ -73,7 +73,7 @@
     /// Adds a connection and sends this node's handshake on it.
     ///
     /// # Errors
-    /// Where the handshake can't be sent; the connection is dropped then.
+    /// If the handshake can't be sent. The connection is then dropped.
     pub(super) fn add(
         &mut self,
         id: ComponentId,
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Drops a connection that has ended. One that this node had opened is opened again after a pause, if it is needed.
+    /// Drops a connection. If this node opened it and still needs it, it is reopened after a backoff.
     pub(super) fn close(&mut self, id: ComponentId, reason: &PeerError) {
         let Some(closed) = self.open.remove(&id) else {
             return;
@@ -108,16 +108,16 @@
             .extend(std::mem::take(&mut self.open).into_keys());
     }
 
-    /// Removes and returns the connections whose components have to be told that they are closed.
+    /// Removes and returns the closed connections whose components must be notified.
     pub(super) fn take_closed(&mut self) -> Vec<ComponentId> {
         std::mem::take(&mut self.closed)
     }
 
-    /// Checks the peer's handshake. Of two connections between the same incarnations, the one stays that the greater
-    /// incarnation has opened, so that both sides keep the same one.
+    /// Checks the peer's handshake. Of two connections between the same incarnations, the one opened by the greater
+    /// incarnation is kept, so that both sides keep the same one.
     ///
     /// # Errors
-    /// Where the connection must not be used.
+    /// If the connection must be closed.
     pub(super) fn on_handshake(
         &mut self,
         id: ComponentId,
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    /// Drops another connection to the same incarnation, or fails if that one takes precedence.
+    /// Drops another connection to the same incarnation, or fails if the other connection takes precedence.
     fn resolve_duplicate(
         &mut self,
         id: ComponentId,
@@ -188,25 +188,25 @@
             })
     }
 
-    /// Whether an incarnation is connected.
+    /// Returns true if a connection to the incarnation is established.
     pub(super) fn is_connected_to(&self, incarnation: u64) -> bool {
         self.open
             .values()
             .any(|peer| peer.peer_incarnation() == Some(incarnation))
     }
 
-    /// The next attempt to connect to this incarnation is not delayed by earlier failures.
+    /// Clears the failures of an incarnation, so that the next attempt to connect to it is not delayed.
     pub(super) fn reset_backoff(&mut self, incarnation: u64) {
         self.backoffs.remove(&incarnation);
     }
 
-    /// Forgets the failures of incarnations that are not known any more.
+    /// Removes the failures of incarnations for which `is_known` returns false.
     pub(super) fn retain_backoffs(&mut self, is_known: impl Fn(u64) -> bool) {
         self.backoffs
             .retain(|incarnation, _| is_known(*incarnation));
     }
 
-    /// Notes which connections are needed, and returns the incarnations to connect to now.
+    /// Marks the connections that are needed, and returns the incarnations to connect to now.
     pub(super) fn missing_connections(&mut self, needed: BTreeSet<u64>) -> Vec<u64> {
         let now = Instant::now();
         for peer in self.open.values_mut() {
@@ -218,25 +218,25 @@
         let is_missing = |incarnation: &u64| {
             let mut all = self.open.values();
             let backoff = self.backoffs.get(incarnation);
-            !all.any(|peer| peer.leads_to(*incarnation))
+            !all.any(|peer| peer.is_for_incarnation(*incarnation))
                 && backoff.is_none_or(|backoff| backoff.may_retry(now))
         };
         needed.into_iter().filter(is_missing).collect()
     }
 
-    /// Tells peers that were replaced so. Their connections stay: their votes may be needed until they are removed from
-    /// the control group.
+    /// Sends `Replaced` to the peers that were replaced. Their connections stay open, since their votes may be needed
+    /// until they are removed from the control group.
     pub(super) fn notify_replaced(&mut self, is_replaced: impl Fn(&Handshake) -> bool) {
         for peer in self.open.values_mut() {
             let is_replaced = peer.connection().peer().is_some_and(&is_replaced);
             if is_replaced && peer.take_replaced_notice_due() {
-                // A connection that can't send is found dead by `keep_alive`.
+                // A connection that can't send is closed later by `keep_alive`.
                 let _ = peer.connection_mut().send(&Message::Replaced);
             }
         }
     }
 
-    /// Keeps all connections alive and returns those that are dead or not needed any more.
+    /// Sends due pings. Returns the connections that have failed or are not needed.
     pub(super) fn keep_alive(&mut self) -> Vec<FailedConnection> {
         let mut failed = Vec::new();
         for (id, peer) in &mut self.open {
--- a/crates/node/src/cluster_agent/connections/tests.rs
+++ b/crates/node/src/cluster_agent/connections/tests.rs
@@ -7,7 +7,7 @@
 
 const CLUSTER_TAG: u32 = 7;
 const LOCAL_INCARNATION: u64 = 50;
-/// Ids of two connections.
+/// The ids of two connections.
 const FIRST: ComponentId = 1;
 const SECOND: ComponentId = 2;
 
@@ -21,14 +21,14 @@
     }
 }
 
-/// Which side opens a connection.
+/// The side that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OpenedBy {
     Local,
     Peer,
 }
 
-/// The connections of this node, with sockets to a listener that stands for all peers.
+/// The connections of this node. One listener accepts the sockets of all peers.
 struct Fixture {
     poller: Rc<Poller>,
     listener: TcpListener,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Adds a connection whose handshake is still to come.
+    /// Adds a connection that has not received a handshake yet.
     fn add(&mut self, id: ComponentId, opened_by: OpenedBy, dialed_incarnation: Option<u64>) {
         let address = self.listener.local_addr().unwrap();
         let key = usize::try_from(id).unwrap();
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::the_greater_peer_opens(60, OpenedBy::Peer)]
 #[case::the_greater_local_node_opens(40, OpenedBy::Local)]
-fn of_two_connections_the_one_opened_by_the_greater_incarnation_stays(
+fn of_two_connections_the_one_opened_by_the_greater_incarnation_is_kept(
     #[case] peer: u64,
     #[case] preferred: OpenedBy,
     #[values(true, false)] is_preferred_first: bool,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn closing_all_tells_each_component() {
+fn closing_all_connections_notifies_each_component() {
     let mut fixture = Fixture::new();
     fixture.add(FIRST, OpenedBy::Local, None);
     fixture.add(SECOND, OpenedBy::Peer, None);
--- a/crates/node/src/cluster_agent/control_actions.rs
+++ b/crates/node/src/cluster_agent/control_actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the control node asks for: messages to other nodes, writes to the storage, log lines.
+//! Executes the actions of the control node: messages to other nodes, writes to the storage, and log lines.
 
 use super::agent::ClusterAgent;
 use super::connections::FailedConnection;
@@ -8,17 +8,17 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// The budget's name in log lines and for operators.
+/// The budget's name in log lines and in admin commands.
 pub(super) const BUDGET_NAME: &str = "cold";
 
-/// A connection to be opened.
+/// A connection to open.
 pub(super) struct DialTarget {
     pub(super) incarnation: u64,
     pub(super) address: SocketAddr,
 }
 
 impl ClusterAgent {
-    /// Carries out all pending actions of the control node. Returns the connections that failed.
+    /// Executes all pending actions of the control node. Returns the connections that failed.
     pub(super) fn process_control_actions(&mut self, now: Timestamp) -> Vec<FailedConnection> {
         if self.is_replaced() {
             self.begin_leaving(now);
@@ -35,7 +35,7 @@
         failed
     }
 
-    /// Sends a message if its receiver is connected; the control node repeats what got lost.
+    /// Sends a message if its receiver is connected. The control node repeats lost messages.
     fn send_control(&mut self, to: u64, message: &ControlMessage) -> Option<FailedConnection> {
         if !self.connections.is_connected_to(to) {
             return None;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The name of a node that is alive, or of this one.
+    /// The name of a live node, or of this one.
     fn node_name(&self, incarnation: u64) -> Option<&str> {
         let local = self.membership.local_identity();
         if incarnation == local.incarnation {
@@ -91,7 +91,7 @@
         Some(&peer.name)
     }
 
-    /// The connections that the control node needs and that are to be opened now.
+    /// The connections to open now, out of those that the control node needs.
     pub(super) fn dial_targets(&mut self) -> Vec<DialTarget> {
         let needed = self.control.desired_connections();
         let missing = self.connections.missing_connections(needed);
@@ -105,7 +105,7 @@
         targets.collect()
     }
 
-    /// Keeps all connections alive. Returns those that are dead or not needed any more.
+    /// Sends due pings and `Replaced` notices. Returns the connections that have failed or are not needed.
     pub(super) fn maintain_connections(&mut self) -> Vec<FailedConnection> {
         self.notify_replaced_peers();
         let addresses = &self.addresses;
--- a/crates/node/src/cluster_agent/driver.rs
+++ b/crates/node/src/cluster_agent/driver.rs
@@ -1,4 +1,5 @@
-//! Access to the cluster agent from the components of the event loop: what it asks for is carried out after each access.
+//! Access to the cluster agent from the components of the event loop. After each access, the effects that the agent
+//! requests are executed.
 
 use super::agent::ClusterAgent;
 use super::connections::FailedConnection;
@@ -16,7 +17,7 @@
     });
 }
 
-/// Does something with the agent, where there is one, and then carries out all that it asks for.
+/// Calls `work` with the agent, if there is one, and then executes all effects that the agent requests.
 pub(super) fn with_agent(
     context: &mut NodeContext,
     work: impl FnOnce(&mut ClusterAgent, &mut NodeContext),
@@ -41,7 +42,7 @@
     context.cluster_agent = Some(agent);
 }
 
-/// Tells placement what the node may use of the slow-start budget now.
+/// Passes to placement the share of the slow-start budget that the node may use.
 fn apply_lease(agent: &ClusterAgent, context: &mut NodeContext, now: Timestamp) {
     if agent.config.slow_start_budget.is_none() {
         return;
@@ -68,8 +69,8 @@
 pub(super) fn set_agent_deadline(
     context: &mut NodeContext,
     deadline: ClusterAgentDeadline,
-    at: Instant,
+    expires_at: Instant,
 ) {
     let agent_id = WellKnownComponent::ClusterAgent.id();
-    context.deadlines.set(agent_id, deadline.into(), at);
+    context.deadlines.set(agent_id, deadline.into(), expires_at);
 }
--- a/crates/node/src/cluster_agent/listener.rs
+++ b/crates/node/src/cluster_agent/listener.rs
@@ -1,5 +1,5 @@
-//! The component of the agent's sockets and deadlines: it receives datagrams, accepts and opens connections, and ticks the
-//! control node.
+//! The event-loop component for the agent's sockets and deadlines. It receives datagrams, accepts and opens
+//! connections, and calls the control node periodically.
 
 use super::agent::ClusterAgent;
 use super::driver::{close_connection, set_agent_deadline, with_agent};
@@ -21,20 +21,20 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// What is handled in one turn of the event loop; the rest is handled in the next one.
+/// The limits for one turn of the event loop. The next turn handles the rest.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 const MAX_ACCEPTS_PER_TURN: usize = 8;
 
-/// Starts the cluster agent, where a cluster is configured.
+/// Starts the cluster agent, if a cluster is configured.
 ///
 /// # Errors
-/// Where an operator has to look; an address or file in use is waited for.
+/// If an operator must intervene. An address or file in use is no error: the agent waits for it.
 pub fn start(context: &mut NodeContext) -> Result<(), StartError> {
     let Some(config) = context.config.cluster.clone() else {
         return Ok(());
     };
     if config.slow_start_budget.is_some() {
-        // Until this agent runs, another process of this node may still use all of the node's part.
+        // Until this agent runs, another process of this node may still use the node's whole share of the budget.
         context.placement.set_slow_start_lease(0, 0, 0.0, None);
     }
     let agent_id = WellKnownComponent::ClusterAgent.id();
@@ -90,7 +90,7 @@
     let reason: Box<dyn Display> = match bind_or_wait(context, &config) {
         Ok(BindOutcome::Started) => return,
         Ok(BindOutcome::Waiting(reason)) => Box::new(reason),
-        // The process before this one may still change the file.
+        // Not final: the previous process may still change the file.
         Err(error) => Box::new(error),
     };
     debug!(context.log, "cluster address or storage not available"; "reason" => %reason);
@@ -99,7 +99,7 @@
 }
 
 fn receive_datagrams(agent: &mut ClusterAgent) {
-    // One byte more than allowed, so that a longer datagram is recognized.
+    // One byte more than allowed, so that a datagram that is too long is detected.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     for _ in 0..MAX_DATAGRAMS_PER_TURN {
         let Some(sockets) = &agent.sockets else {
@@ -111,7 +111,7 @@
                 agent.membership.on_datagram(uptime, &buffer[..length]);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-            // The network's answer to a datagram sent earlier; the next one may be fine.
+            // An error reported for a datagram sent earlier. The next receive may succeed.
             Err(_) => {}
         }
     }
@@ -128,7 +128,7 @@
         if agent.connections.has_room() {
             accept_connection(agent, context, stream);
         } else {
-            agent.record_rejection("a link was not taken", &"there are too many");
+            agent.record_rejection("accepted connection", &"too many connections");
         }
     }
 }
@@ -160,11 +160,11 @@
         .and_then(|connection| agent.connections.add(id, connection, dialed_incarnation));
     match added {
         Ok(()) => context.register(id, Box::new(PeerConnectionComponent::new(id))),
-        Err(error) => agent.record_rejection("a link could not begin", &error),
+        Err(error) => agent.record_rejection("new connection", &error),
     }
 }
 
-/// One period of the control node. The deadline is not set again once this node has left.
+/// Calls the control node once per tick interval, until this node has left.
 fn tick(context: &mut NodeContext) {
     let mut has_left = false;
     with_agent(context, |agent, context| {
@@ -188,7 +188,9 @@
         peak: usage.max_attempts_in_window,
         was_limited: usage.was_exhausted,
     });
-    let alive = agent.alive_members();
-    agent.control.on_tick(context.placement.now(), &alive);
+    let live_members = agent.live_members();
+    agent
+        .control
+        .on_tick(context.placement.now(), &live_members);
     open_needed_connections(agent, context);
 }
--- a/crates/node/src/cluster_agent/membership_events.rs
+++ b/crates/node/src/cluster_agent/membership_events.rs
@@ -1,6 +1,6 @@
-//! Carries out what membership asks for, and keeps the addresses of the nodes that are alive.
+//! Executes the outputs of membership, and maintains the addresses of live nodes.
 
-use super::agent::{member_of, ClusterAgent, PeerAddress};
+use super::agent::{control_member, ClusterAgent, PeerAddress};
 use lupincrank_cluster::membership::{Identity, MembershipOutput};
 use lupincrank_cluster::message::Handshake;
 use lupincrank_control::member::Member;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl ClusterAgent {
-    /// Carries out all pending outputs of membership.
+    /// Executes all pending outputs of membership.
     pub(super) fn process_membership_outputs(&mut self) {
         while let Some(output) = self.membership.next_output() {
             match output {
@@ -30,7 +30,7 @@
         };
         let address = self.config.reachable_address(advertised);
         self.sent.record(bytes.len());
-        // The protocol expects that datagrams get lost.
+        // The protocol tolerates lost datagrams.
         let _ = sockets.datagrams.send_to(bytes, address);
     }
 
@@ -52,33 +52,33 @@
         info!(self.log, "member down"; "member" => &identity.name,
             "incarnation" => format!("{:016x}", identity.incarnation),
             "generation" => identity.generation);
-        // The same incarnation may be alive as another generation.
-        let is_alive = self
+        // The same incarnation may be live with another generation.
+        let is_live = self
             .membership
-            .alive()
-            .any(|alive| alive.incarnation == identity.incarnation);
-        if !is_alive {
+            .live_members()
+            .any(|member| member.incarnation == identity.incarnation);
+        if !is_live {
             self.addresses.remove(&identity.incarnation);
         }
     }
 
-    /// All other nodes that are alive, by incarnation.
-    pub(super) fn alive_members(&self) -> BTreeMap<u64, Member> {
+    /// All other live nodes, by incarnation.
+    pub(super) fn live_members(&self) -> BTreeMap<u64, Member> {
         self.membership
-            .alive()
-            .map(|identity| (identity.incarnation, member_of(identity)))
+            .live_members()
+            .map(|identity| (identity.incarnation, control_member(identity)))
             .collect()
     }
 
-    /// Tells connected peers that were replaced so. Guards against a leader that was replaced: it receives no datagrams any
-    /// more, so nothing else would tell it, and its connections would keep it in the lead.
+    /// Sends `Replaced` to connected peers that were replaced. A replaced leader receives no datagrams, so without the
+    /// notice it would stay the leader through its connections.
     pub(super) fn notify_replaced_peers(&mut self) {
         let membership = &self.membership;
         let is_replaced = |peer: &Handshake| {
-            membership.alive().any(|alive| {
-                alive.name == peer.name
-                    && alive.incarnation != peer.incarnation
-                    && (alive.started_at_ms, alive.incarnation)
+            membership.live_members().any(|member| {
+                member.name == peer.name
+                    && member.incarnation != peer.incarnation
+                    && (member.started_at_ms, member.incarnation)
                         > (peer.started_at_ms, peer.incarnation)
             })
         };
--- a/crates/node/src/cluster_agent/mod.rs
+++ b/crates/node/src/cluster_agent/mod.rs
@@ -1,5 +1,5 @@
-//! The node's part in its cluster: sockets, deadlines and storage around the state machines of membership
-//! (`lupincrank_cluster`) and of the control group (`lupincrank_control`). Nothing on a request's path waits for any of it.
+//! The cluster agent: sockets, deadlines and storage for the state machines of gossip membership (`lupincrank_cluster`)
+//! and of the control group (`lupincrank_control`). The request path never waits for it.
 
 pub mod agent;
 mod backoff;
--- a/crates/node/src/cluster_agent/peer_component.rs
+++ b/crates/node/src/cluster_agent/peer_component.rs
@@ -1,4 +1,4 @@
-//! The component that handles the events of a connection to another node.
+//! The event-loop component of a connection to another node.
 
 use super::driver::with_agent;
 use crate::command::{ClusterConnectionCommand, Message};
@@ -6,7 +6,7 @@
 use crate::state::{NodeContext, NodeState};
 use lupincrank_reactor::{ComponentId, Connection, Lifecycle, Readiness};
 
-/// The event loop's component of a connection. The connection itself belongs to the cluster agent.
+/// Passes the events of a connection to the cluster agent, which owns the connection.
 pub(super) struct PeerConnectionComponent {
     id: ComponentId,
 }
@@ -30,7 +30,7 @@
             let now = context.placement.now();
             if let Err(error) = agent.on_connection_ready(now, id, readiness.readable) {
                 if error.is_violation() {
-                    agent.record_rejection("a link", &error);
+                    agent.record_rejection("connection", &error);
                 }
                 agent.connections_mut().close(id, &error);
                 lifecycle = Lifecycle::Close;
--- a/crates/node/src/cluster_agent/peer_connection.rs
+++ b/crates/node/src/cluster_agent/peer_connection.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A connection that this node has opened and does not need any more is closed after this.
+/// A connection that this node opened is closed after it has not been needed for this time.
 const UNNEEDED_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often an incarnation that was replaced is told so.
+/// The shortest time between two `Replaced` messages to an incarnation that was replaced.
 const REPLACED_NOTICE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a connection to another node is closed.
@@ -16,33 +16,34 @@
     #[error(transparent)]
     Connection(#[from] ConnectionError),
     /// The connection was closed while its messages were handled.
-    #[error("it is gone")]
+    #[error("connection is already closed")]
     Removed,
-    /// A second handshake came.
-    #[error("it says hello twice")]
+    /// The peer sent a second handshake.
+    #[error("peer sent a second handshake")]
     RepeatedHandshake,
-    /// Another message came before the handshake.
-    #[error("it does not say hello first")]
+    /// The peer sent another message before its handshake.
+    #[error("peer sent a message before its handshake")]
     MissingHandshake,
     /// The peer belongs to another cluster.
-    #[error("it belongs to another fleet")]
+    #[error("peer belongs to another cluster")]
     ForeignCluster,
-    /// The peer is this node itself, or not the incarnation that this node meant to reach.
-    #[error("it is another life than the one that was looked for")]
+    /// The peer is this node itself, or not the incarnation that this node dialed.
+    #[error("unexpected incarnation of the peer")]
     UnexpectedIncarnation,
-    /// A connection to this incarnation exists and takes precedence.
-    #[error("there is one already")]
+    /// Another connection to this incarnation takes precedence.
+    #[error("another connection to the peer takes precedence")]
     Duplicate,
-    /// A payload is no message of the control group.
-    #[error("a message of the council can't be read: {0}")]
+    /// A payload is not a message of the control group.
+    #[error("undecodable control message: {0}")]
     UndecodableControlMessage(postcard::Error),
-    /// This node has opened the connection and needs it no more.
-    #[error("it is needed no more")]
+    /// This node opened the connection and does not need it.
+    #[error("connection is not needed")]
     Unneeded,
 }
 
 impl PeerError {
-    /// Whether the peer did something that a node of this cluster does not do.
+    /// Returns true if the error counts as rejected traffic: any error, unless the connection broke, was closed or is
+    /// not needed.
     pub(super) fn is_violation(&self) -> bool {
         !matches!(
             self,
@@ -56,7 +57,7 @@
 /// One connection to another node.
 pub(super) struct PeerConnection {
     connection: ClusterConnection,
-    /// The incarnation that this node meant to reach when it opened the connection.
+    /// The incarnation that this node dialed, if it opened the connection.
     dialed_incarnation: Option<u64>,
     last_needed: Instant,
     replaced_notice_sent_at: Option<Instant>,
@@ -84,22 +85,22 @@
         self.dialed_incarnation
     }
 
-    /// The incarnation of the peer, once its handshake has come.
+    /// The incarnation of the peer, once its handshake was accepted.
     pub(super) fn peer_incarnation(&self) -> Option<u64> {
         self.connection.peer().map(|peer| peer.incarnation)
     }
 
-    /// Whether this is, or is to become, a connection to that incarnation.
-    pub(super) fn leads_to(&self, incarnation: u64) -> bool {
+    /// Returns true if this connection is established with, or dialed to, the incarnation.
+    pub(super) fn is_for_incarnation(&self, incarnation: u64) -> bool {
         self.dialed_incarnation == Some(incarnation) || self.peer_incarnation() == Some(incarnation)
     }
 
-    /// Notes that the connection is needed now.
+    /// Records that the connection is needed now.
     pub(super) fn mark_needed(&mut self, now: Instant) {
         self.last_needed = now;
     }
 
-    /// Whether a notice that the peer was replaced is due; it counts as sent then.
+    /// Returns true if a `Replaced` message to the peer is due, and records it as sent.
     pub(super) fn take_replaced_notice_due(&mut self) -> bool {
         let is_due = self
             .replaced_notice_sent_at
@@ -110,10 +111,10 @@
         is_due
     }
 
-    /// Keeps the connection alive.
+    /// Sends a ping if one is due.
     ///
     /// # Errors
-    /// Where it is dead or not needed any more.
+    /// If the connection has failed or has not been needed for [`UNNEEDED_TIMEOUT`].
     pub(super) fn keep_alive(&mut self) -> Result<(), PeerError> {
         self.connection.keep_alive()?;
         if self.connection.is_initiator() && self.last_needed.elapsed() >= UNNEEDED_TIMEOUT {
--- a/crates/node/src/cluster_agent/sockets.rs
+++ b/crates/node/src/cluster_agent/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets at the cluster address.
+//! The sockets bound to the cluster address.
 
 use crate::component::WellKnownComponent;
 use lupincrank_reactor::poll::{self, Registered};
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::rc::Rc;
 
-/// The numbers of the cluster agent's two sockets in the event loop.
+/// The numbers by which the event loop identifies the cluster agent's two sockets.
 pub(super) const DATAGRAM_SOCKET: usize = 0;
 pub(super) const LISTENER_SOCKET: usize = 1;
 
@@ -22,7 +22,7 @@
     /// Binds both sockets.
     ///
     /// # Errors
-    /// Where the address is not available, for example while the process before this one holds it.
+    /// If the address is not available, for example while the previous process still uses it.
     pub(super) fn bind(poller: &Rc<Poller>, address: SocketAddr) -> io::Result<ClusterSockets> {
         let agent_id = WellKnownComponent::ClusterAgent.id();
         let listener = poll::listen(address)?;
--- a/crates/node/src/cluster_agent/startup.rs
+++ b/crates/node/src/cluster_agent/startup.rs
@@ -1,5 +1,5 @@
-//! Starts the agent once its address and its storage file are free: a process that replaces another one waits for that
-//! one's end.
+//! Starts the agent once its address and its storage file are available. A process that replaces another one waits
+//! until the other process has ended.
 
 use super::agent::{ClusterAgent, LocalNode};
 use super::config::ClusterConfig;
@@ -23,7 +23,7 @@
 /// The pause between attempts to bind the cluster address.
 pub(super) const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why the agent can't start. An operator has to look.
+/// Why the agent can't start. An operator must intervene.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The storage file can't be used.
@@ -34,7 +34,7 @@
     Io {
         /// The storage file.
         path: PathBuf,
-        /// What failed.
+        /// The cause.
         error: io::Error,
     },
     /// The control node can't start.
@@ -42,7 +42,7 @@
     Control(#[from] ControlError),
 }
 
-/// Why the agent has to wait.
+/// Why the agent must wait.
 #[derive(Debug, Error)]
 pub(super) enum WaitReason {
     #[error("{address}: {error}")]
@@ -50,20 +50,21 @@
         address: SocketAddr,
         error: io::Error,
     },
-    #[error("{}: another process holds it", path.display())]
+    #[error("{}: in use by another process", path.display())]
     StorageInUse { path: PathBuf },
 }
 
-/// Whether the agent runs now.
+/// The result of an attempt to start the agent.
 pub(super) enum BindOutcome {
     Started,
     Waiting(WaitReason),
 }
 
-/// Binds the address, opens the storage and starts the agent, or sets a deadline for the next attempt.
+/// Binds the address, opens the storage and starts the agent. If the address or the storage is in use, sets a deadline
+/// for the next attempt.
 ///
 /// # Errors
-/// Where the storage can't be used; an operator has to look.
+/// If the storage can't be used and an operator must intervene.
 pub(super) fn bind_or_wait(
     context: &mut NodeContext,
     config: &ClusterConfig,
@@ -118,7 +119,7 @@
     })
 }
 
-/// Hands the agent to the event loop.
+/// Passes the agent to the event loop.
 fn run_agent(context: &mut NodeContext, agent: ClusterAgent) {
     let incarnation = agent.membership().local_identity().incarnation;
     info!(context.log, "cluster agent started"; "cluster" => &agent.config.cluster_name,
@@ -154,7 +155,7 @@
     Writer(io::Error),
 }
 
-/// An agent with the identity that the storage file holds.
+/// Creates an agent that resumes the identity in the storage file.
 fn resume_agent(
     context: &mut NodeContext,
     config: &ClusterConfig,
--- a/crates/node/src/cluster_agent/status.rs
+++ b/crates/node/src/cluster_agent/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the cluster, as JSON.
+//! JSON answers to the admin commands `fleet` and `budgets`.
 
 use super::agent::ClusterAgent;
 use super::config::SlowStartBudget;
@@ -17,7 +17,7 @@
     #[serde(rename = "council")]
     control: lupincrank_control::status::Status,
     #[serde(rename = "alive")]
-    alive_count: usize,
+    live_count: usize,
     #[serde(rename = "links")]
     connection_count: usize,
     #[serde(rename = "datagrams_refused")]
@@ -34,7 +34,7 @@
         let status = ClusterStatus {
             cluster_name: &self.config.cluster_name,
             control: self.control.status(now),
-            alive_count: self.membership.alive().count() + 1,
+            live_count: self.membership.live_members().count() + 1,
             connection_count: self.connections.established_count(),
             rejected_datagrams: self.membership.rejected(),
             rejected_messages: self.rejection_count(),
@@ -47,7 +47,7 @@
     /// The answer to `fleet members`.
     pub(super) fn members_json(&self) -> String {
         let local = self.membership.local_identity();
-        let mut members: Vec<&Identity> = self.membership.alive().chain([local]).collect();
+        let mut members: Vec<&Identity> = self.membership.live_members().chain([local]).collect();
         members.sort();
         serde_json::to_string(&members).unwrap_or_default()
     }
--- a/crates/node/src/cluster_agent/storage.rs
+++ b/crates/node/src/cluster_agent/storage.rs
@@ -1,5 +1,5 @@
-//! The file that keeps the control group's log and vote across restarts, in the `redb` format. Which writes there are and
-//! what they add up to is defined by [`lupincrank_control::durable`].
+//! The file that stores the control group's log and vote across restarts, in the `redb` format.
+//! [`lupincrank_control::durable`] defines the writes and the state that results from them.
 
 mod writer;
 
@@ -19,78 +19,78 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Single values by their names.
+/// Single values by name.
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// Log entries by their indices.
+/// Log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// The names of the values.
+/// The names in [`FACTS`].
 const OWNER: &str = "owner";
 const MEMBER_ID: &str = "id";
 const START_COUNT: &str = "starts";
 const CLUSTER_ID: &str = "stamp";
 const SNAPSHOT: &str = "snapshot";
 const HARD_STATE: &str = "hard";
-/// The memory for cached pages.
+/// The size of the page cache.
 const CACHE_BYTES: usize = 1 << 20;
-/// The extension of a file that is to replace the present one.
+/// The extension of a new file while it is written, before it replaces the current one.
 const REPLACEMENT_EXTENSION: &str = "new";
-/// The extension of a file that was set aside.
+/// The extension of a damaged file that was set aside.
 const DAMAGED_EXTENSION: &str = "damaged";
 
 /// Why a file can't be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// Another process holds it, probably the one that this process replaces.
-    #[error("another process holds it")]
+    /// Another process has locked the file, probably the one that this process replaces.
+    #[error("file is in use by another process")]
     InUse,
-    /// It can't be continued: the node has to start with a new identity.
+    /// The file is damaged, so the node must start with a new identity.
     #[error(transparent)]
     Damaged(#[from] StorageDamage),
-    /// It belongs to another node or cluster. An operator has to look.
-    #[error("the council's file belongs to {found:?}, this is {expected:?}")]
+    /// The file belongs to another node or cluster. An operator must intervene.
+    #[error("storage file belongs to {found:?}, expected {expected:?}")]
     ForeignOwner {
-        /// The owner in the file.
+        /// The owner stored in the file.
         found: String,
-        /// The cluster and the node that this process runs.
+        /// The cluster and the node of this process.
         expected: String,
     },
-    /// The operating system refuses to open the file or to create its folder. An operator has to look.
+    /// The file can't be opened, or its folder can't be created. An operator must intervene.
     #[error("{}: {error}", path.display())]
     Io {
         /// The file or folder.
         path: PathBuf,
-        /// The refusal.
+        /// The cause.
         error: io::Error,
     },
-    /// The file can't be written. An operator has to look.
+    /// The file can't be written. An operator must intervene.
     #[error("{}: {error}", path.display())]
     Unwritable {
         /// The file.
         path: PathBuf,
-        /// The refusal.
+        /// The cause.
         error: Box<redb::Error>,
     },
 }
 
-/// What is wrong with a file that can't be continued.
+/// The damage of a file whose state can't be resumed.
 #[derive(Debug, Error)]
 pub enum StorageDamage {
-    /// The database library gave up on it.
-    #[error("it can't be read at all")]
+    /// The database library panicked.
+    #[error("the database library panicked on the storage file")]
     Unreadable,
-    /// Its pages do not have the checksums that were written.
-    #[error("its checksums differ")]
+    /// The integrity check found wrong checksums.
+    #[error("checksum mismatch in the storage file")]
     ChecksumMismatch,
     /// The database library reports an error.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// The identity is missing.
-    #[error("it names no identity")]
+    /// The identity or the start count is missing or malformed.
+    #[error("identity missing in the storage file")]
     MissingIdentity,
-    /// The cluster's id can't be decoded.
+    /// The cluster id can't be decoded.
     #[error(transparent)]
     ClusterId(postcard::Error),
-    /// Log, snapshot and vote contradict each other.
+    /// Log, snapshot and vote are inconsistent.
     #[error(transparent)]
     Inconsistent(ControlError),
 }
@@ -101,20 +101,20 @@
     }
 }
 
-/// An opened file and what it held, this start counted.
+/// An opened file and the state read from it, with this start counted.
 pub struct OpenedStorage {
     /// The file, locked against other processes.
     pub database: Database,
-    /// What earlier processes left.
+    /// The state that earlier processes stored.
     pub state: DurableState,
 }
 
-/// Opens the file of this owner, or creates it with `new_member_id`, and counts a start.
+/// Opens the file of `owner`, or creates it with `new_member_id`, and counts a start.
 ///
 /// # Errors
-/// Where the file can't be continued by this process.
+/// If this process can't use the file.
 pub fn open(path: &Path, owner: &str, new_member_id: u64) -> Result<OpenedStorage, OpenError> {
-    // The library panics on some damages.
+    // The library panics on some kinds of damage.
     let opened = catch_unwind(AssertUnwindSafe(|| {
         open_checked(path, owner, new_member_id)
     }));
@@ -158,7 +158,7 @@
     })
 }
 
-/// A failed check is not repaired: the state that the library would return to may be older than what was promised by it.
+/// Checks the file without repairing it: a repair may return to a state that is older than promises already made.
 fn check_integrity(database: &mut Database) -> Result<(), StorageDamage> {
     match database.check_integrity() {
         Ok(true) => Ok(()),
@@ -180,7 +180,7 @@
     Ok(())
 }
 
-/// The values as they are stored.
+/// The encoded values of [`FACTS`].
 #[derive(Default)]
 struct StoredFacts {
     owner: Option<Vec<u8>>,
@@ -191,7 +191,7 @@
     hard_state: Option<Vec<u8>>,
 }
 
-/// Reads the values, or `None` from a file that has just been created.
+/// Reads the values. Returns `None` for a file that has just been created.
 fn read_facts(transaction: &ReadTransaction) -> Result<Option<StoredFacts>, redb::Error> {
     let facts = match transaction.open_table(FACTS) {
         Err(TableError::TableDoesNotExist(_)) => return Ok(None),
@@ -271,19 +271,19 @@
     postcard::from_bytes(bytes).map_err(StorageDamage::ClusterId)
 }
 
-/// Sets a file aside that can't be continued, in place of one that was set aside before.
+/// Renames a damaged file, to set it aside. Replaces a file that was set aside before.
 ///
 /// # Errors
-/// Where it can't be renamed.
+/// If the file can't be renamed.
 pub fn set_aside(path: &Path) -> io::Result<()> {
     fs::rename(path, path.with_extension(DAMAGED_EXTENSION))
 }
 
-/// Writes the whole state to a new file and puts that in the place of the one at `path`. Both stay locked against other
-/// processes until the new one stands there.
+/// Writes the whole state to a new file, which then replaces the one at `path`. Both files stay locked against other
+/// processes until then.
 ///
 /// # Errors
-/// Where the new file can't be written; the present one is untouched then.
+/// If the new file can't be written. The current file is then unchanged.
 fn rewrite(path: &Path, owner: &str, state: &DurableState) -> Result<Database, redb::Error> {
     let replacement = path.with_extension(REPLACEMENT_EXTENSION);
     match fs::remove_file(&replacement) {
@@ -302,7 +302,7 @@
     Ok(database)
 }
 
-/// Writes all but the identity to a file that holds nothing else.
+/// Writes the state except for the identity to a new file.
 fn write_state(database: &Database, state: &DurableState) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     {
@@ -331,7 +331,7 @@
     Ok(encoded)
 }
 
-/// Carries out several writes in one transaction, which is synced when this returns.
+/// Applies several writes in one transaction, which is synced to disk on return.
 fn write_batch(database: &Database, writes: &[LogWrite]) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     {
--- a/crates/node/src/cluster_agent/storage/tests.rs
+++ b/crates/node/src/cluster_agent/storage/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// A file with some writes in it, as a process that was killed leaves it, and what they add up to.
+/// Creates a file with some writes, as a killed process leaves it, and returns the state that results from them.
 fn file_with_writes(path: &Path) -> DurableState {
     let OpenedStorage {
         database,
@@ -58,7 +58,7 @@
     state
 }
 
-fn folder(name: &str) -> std::path::PathBuf {
+fn storage_path(name: &str) -> std::path::PathBuf {
     let folder =
         std::env::temp_dir().join(format!("lupincrank-disk-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -66,15 +66,15 @@
 }
 
 #[test]
-fn writes_and_identity_survive_a_restart() {
-    let path = folder("whole");
-    let kept = file_with_writes(&path);
-    let again = open(&path, "guj/n0", 99).unwrap();
+fn writes_and_identity_persist_across_a_restart() {
+    let path = storage_path("whole");
+    let stored_state = file_with_writes(&path);
+    let reopened = open(&path, "guj/n0", 99).unwrap();
     assert_eq!(
-        again.state,
+        reopened.state,
         DurableState {
             start_count: 2,
-            ..kept
+            ..stored_state
         }
     );
     assert!(matches!(open(&path, "guj/n0", 1), Err(OpenError::InUse)));
@@ -85,17 +85,17 @@
 #[case::of_another_node("guj/n1", 0, false)]
 #[case::damaged_in_the_middle("guj/n0", 3, true)]
 #[case::cut_in_half("guj/n0", 2, true)]
-fn a_damaged_or_foreign_file_is_not_continued(
+fn a_damaged_or_foreign_file_is_not_resumed(
     #[case] owner: &str,
-    #[case] damage: usize,
-    #[case] aside: bool,
+    #[case] damage_kind: usize,
+    #[case] is_damaged: bool,
 ) {
-    let path = folder(&format!("damaged-{owner}-{damage}").replace('/', "-"));
-    let kept = file_with_writes(&path);
+    let path = storage_path(&format!("damaged-{owner}-{damage_kind}").replace('/', "-"));
+    let stored_state = file_with_writes(&path);
     let mut bytes = fs::read(&path).unwrap();
-    match damage {
+    match damage_kind {
         2 => bytes.truncate(bytes.len() / 2),
-        // All places where the entries stand.
+        // Flips a bit in every byte whose value occurs in the entries or in the last snapshot.
         3 => bytes
             .iter_mut()
             .filter(|byte| [4, 5, 8].contains(*byte))
@@ -104,25 +104,29 @@
     }
     fs::write(&path, bytes).unwrap();
     match open(&path, owner, 99) {
-        Err(OpenError::Damaged(_)) if aside => {
+        Err(OpenError::Damaged(_)) if is_damaged => {
             set_aside(&path).unwrap();
-            let fresh = open(&path, owner, 99).unwrap().state;
+            let recreated = open(&path, owner, 99).unwrap().state;
             assert_eq!(
-                (fresh.member_id, fresh.start_count, fresh.cluster_id),
+                (
+                    recreated.member_id,
+                    recreated.start_count,
+                    recreated.cluster_id
+                ),
                 (99, 1, None)
             );
         }
-        Err(error @ OpenError::ForeignOwner { .. }) if !aside => {
+        Err(error @ OpenError::ForeignOwner { .. }) if !is_damaged => {
             assert!(error.to_string().contains("guj/n0"), "{error}");
         }
-        other => panic!("{:?} of {kept:?}", other.map(|opened| opened.state)),
+        other => panic!("{:?} of {stored_state:?}", other.map(|opened| opened.state)),
     }
     let _ = fs::remove_dir_all(path.parent().unwrap());
 }
 
 #[test]
 fn the_writer_reports_completed_writes_and_ends_when_dropped() {
-    let path = folder("thread");
+    let path = storage_path("thread");
     let OpenedStorage { database, state } = open(&path, "guj/n0", 7).unwrap();
     let file = StorageFile {
         path: path.clone(),
@@ -141,48 +145,53 @@
         }
     }
     drop(writer);
-    let again = loop {
+    let reopened = loop {
         match open(&path, "guj/n0", 9) {
             Err(OpenError::InUse) => thread::yield_now(),
             other => break other.unwrap().state,
         }
     };
     assert_eq!(
-        (again.member_id, again.entries.len(), again.hard_state),
+        (
+            reopened.member_id,
+            reopened.entries.len(),
+            reopened.hard_state
+        ),
         (7, 20, Some(vec![20]))
     );
     let _ = fs::remove_dir_all(path.parent().unwrap());
 }
 
-/// The whole state in a new file reads back as it was, and the file that it replaces is locked until then.
+/// The new file contains the whole state, and the path stays locked while both files are open.
 #[test]
 fn a_rewritten_file_holds_the_whole_state() {
-    let path = folder("rewritten");
-    let kept = file_with_writes(&path);
+    let path = storage_path("rewritten");
+    let stored_state = file_with_writes(&path);
     let opened = open(&path, "guj/n0", 99).unwrap();
     let rewritten = rewrite(&path, "guj/n0", &opened.state).unwrap();
     assert!(matches!(open(&path, "guj/n0", 1), Err(OpenError::InUse)));
     drop((opened.database, rewritten));
-    let again = open(&path, "guj/n0", 99).unwrap();
+    let reopened = open(&path, "guj/n0", 99).unwrap();
     assert_eq!(
-        again.state,
+        reopened.state,
         DurableState {
             start_count: 3,
-            ..kept
+            ..stored_state
         }
     );
     let _ = fs::remove_dir_all(path.parent().unwrap());
 }
 
-/// Written by revision c925b3d: an identity that has started once, its cluster, a snapshot up to entry 1, and three entries.
-/// Not compacted: redb 3 finds other checksums in a compacted file at the second opening, and no node compacts its file.
-const STORED_BEFORE: &[u8] = include_bytes!("../../../tests/fixtures/council-n0.redb");
+/// A file written by revision c925b3d: an identity that has started once, its cluster id, a snapshot up to entry 1, and
+/// three entries. The file is not compacted: no node compacts its file, and redb 3 reports wrong checksums when a
+/// compacted file is opened for the second time.
+const EARLIER_BUILD_FILE: &[u8] = include_bytes!("../../../tests/fixtures/council-n0.redb");
 
 #[test]
-fn a_file_of_an_earlier_build_is_continued() {
-    let path = folder("earlier-build");
+fn a_file_of_an_earlier_build_is_resumed() {
+    let path = storage_path("earlier-build");
     fs::create_dir_all(path.parent().unwrap()).unwrap();
-    fs::write(&path, STORED_BEFORE).unwrap();
+    fs::write(&path, EARLIER_BUILD_FILE).unwrap();
     let OpenedStorage { database, state } = open(&path, "guj/n0", 99).unwrap();
     let expected = DurableState {
         member_id: 0x0123_4567_89ab_cdef,
@@ -198,9 +207,9 @@
     assert_eq!(state, expected);
     write_batch(&database, &[write(3, &[4, 5])]).unwrap();
     drop(database);
-    let mut grown = expected;
-    grown.apply(&write(3, &[4, 5]));
-    grown.start_count = 3;
-    assert_eq!(open(&path, "guj/n0", 99).unwrap().state, grown);
+    let mut updated = expected;
+    updated.apply(&write(3, &[4, 5]));
+    updated.start_count = 3;
+    assert_eq!(open(&path, "guj/n0", 99).unwrap().state, updated);
     let _ = fs::remove_dir_all(path.parent().unwrap());
 }
--- a/crates/node/src/cluster_agent/storage/writer.rs
+++ b/crates/node/src/cluster_agent/storage/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to the control group's file, so that the event loop never waits for the disk.
+//! The thread that writes to the storage file, so that the event loop never waits for the disk.
 
 use super::{rewrite, write_batch};
 use lupincrank_control::durable::{DurableState, LogWrite};
@@ -15,55 +15,55 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The writes that may be queued; a longer queue means that the disk has stopped.
+/// The number of writes that may be queued. A full queue indicates a disk that has stalled.
 const MAX_QUEUED_WRITES: usize = 4096;
-/// The writes that join the first one in a transaction.
+/// The number of writes that may be added to the first one in a transaction.
 const MAX_BATCHED_WRITES: usize = 256;
-/// The pause before the first attempt to write again after an error, and the longest one; each is twice the one before.
+/// The pause before the first retry of a failed write. It doubles up to the maximum.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 const THREAD_NAME: &str = "control storage";
 
-/// Why a write has failed, or none can be queued.
+/// Why a write failed or can't be queued.
 #[derive(Debug, Error)]
 pub enum StorageWriteError {
-    /// The disk does not keep up.
-    #[error("{MAX_QUEUED_WRITES} writes wait")]
+    /// The disk is too slow.
+    #[error("write queue is full with {MAX_QUEUED_WRITES} writes")]
     QueueFull,
-    /// The thread has ended after an earlier error.
-    #[error("it has ended")]
+    /// The storage thread has ended.
+    #[error("storage thread has ended")]
     ThreadEnded,
-    /// The database library found a damage that it can't handle.
-    #[error("the file is damaged")]
+    /// The database library panicked.
+    #[error("storage file is damaged")]
     FileDamaged,
-    /// The database refused a write.
+    /// The database reported an error.
     #[error(transparent)]
     Database(Box<redb::Error>),
 }
 
-/// What the writing thread reports.
+/// An event reported by the storage thread.
 #[derive(Debug)]
 pub enum StorageEvent {
-    /// All writes up to the one of this sequence are on the disk.
+    /// All writes up to this sequence number are on disk.
     Completed(u64),
-    /// A write has failed. It is made again, with the whole state in a new file, until that succeeds.
+    /// A write has failed. The whole state is written to a new file until that succeeds.
     Failing(StorageWriteError),
 }
 
-/// The file that is written, and what it holds.
+/// The file that the thread writes, and its state.
 pub struct StorageFile {
-    /// Its path.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The cluster and the node that it belongs to.
+    /// The cluster and the node that own the file.
     pub owner: String,
-    /// The opened file.
+    /// The open database.
     pub database: Database,
-    /// What it holds.
+    /// The state in the file.
     pub state: DurableState,
 }
 
-/// The queue to the writing thread, and what that has reported. The thread ends after this is dropped, once the queued
-/// writes are completed.
+/// The queues to and from the storage thread. After the writer is dropped, the thread completes the queued writes and
+/// ends.
 pub struct StorageWriter {
     writes: SyncSender<LogWrite>,
     events: Receiver<StorageEvent>,
@@ -74,7 +74,7 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// Where the operating system gives no socket pair or no thread.
+    /// If the socket pair or the thread can't be created.
     pub fn start(file: StorageFile) -> io::Result<StorageWriter> {
         let (write_sender, write_receiver) = sync_channel(MAX_QUEUED_WRITES);
         let (event_sender, events) = channel();
@@ -97,10 +97,10 @@
         })
     }
 
-    /// A socket that becomes readable when writes are completed.
+    /// Returns a socket that becomes readable when an event is reported.
     ///
     /// # Errors
-    /// Where the descriptor can't be duplicated.
+    /// If the file descriptor can't be duplicated.
     pub fn wake_receiver(&self) -> io::Result<UnixStream> {
         self.wake_receiver.try_clone()
     }
@@ -108,7 +108,7 @@
     /// Queues a write.
     ///
     /// # Errors
-    /// Where nothing can be written any more.
+    /// If the queue is full or the thread has ended.
     pub fn write(&self, write: LogWrite) -> Result<(), StorageWriteError> {
         self.writes.try_send(write).map_err(|error| match error {
             TrySendError::Full(_) => StorageWriteError::QueueFull,
@@ -116,17 +116,17 @@
         })
     }
 
-    /// Empties the socket that wakes the event loop.
+    /// Drains the socket that wakes the event loop.
     pub fn clear_wake_up(&mut self) {
         while matches!(retry_interrupted(|| self.wake_receiver.read(&mut [0; 64])), Ok(length) if length > 0)
         {
         }
     }
 
-    /// The next event that the thread has reported, if any.
+    /// Returns the next event that the thread has reported, if any.
     ///
     /// # Errors
-    /// Where the thread has ended.
+    /// If the thread has ended.
     pub fn next_event(&mut self) -> Result<Option<StorageEvent>, StorageWriteError> {
         match self.events.try_recv() {
             Ok(event) => Ok(Some(event)),
@@ -136,7 +136,7 @@
     }
 }
 
-/// What the thread owns.
+/// The state of the storage thread.
 struct Worker {
     file: StorageFile,
     writes: Receiver<LogWrite>,
@@ -163,13 +163,13 @@
     }
 
     fn report(&mut self, event: StorageEvent) {
-        // The receiver may be gone, or have been woken already.
+        // Fails if the receiver was dropped, or if unread wake-ups fill the socket.
         let _ = self.events.send(event);
         let _ = retry_interrupted(|| self.wake_sender.write(&[1]));
     }
 
     fn write(&self, batch: &[LogWrite]) -> Result<(), StorageWriteError> {
-        // The library panics on some damages.
+        // The library panics on some kinds of damage.
         match catch_unwind(AssertUnwindSafe(|| write_batch(&self.file.database, batch))) {
             Ok(Ok(())) => Ok(()),
             Ok(Err(error)) => Err(StorageWriteError::Database(Box::new(error))),
@@ -177,9 +177,9 @@
         }
     }
 
-    /// After an error nothing that the operating system holds of the file can be trusted, so the whole state goes to a new
-    /// one. Nothing is reported as completed meanwhile, and nothing that was promised is lost: the old file stays until
-    /// the new one is on the disk.
+    /// Writes the whole state to a new file, because after an error the operating system's cached data of the old one
+    /// can't be trusted. Until that succeeds, no write is reported as completed, and no earlier promise is lost: the
+    /// old file stays until the new one is on disk.
     fn rewrite_until_written(&mut self) {
         let mut backoff = MIN_RETRY_BACKOFF;
         loop {
--- a/crates/node/src/cluster_agent/storage_completions.rs
+++ b/crates/node/src/cluster_agent/storage_completions.rs
@@ -1,4 +1,4 @@
-//! The component that is woken when the storage has completed writes.
+//! The event-loop component that is woken when the storage has reported an event.
 
 use super::driver::with_agent;
 use crate::command::Message;
@@ -6,7 +6,7 @@
 use crate::state::{NodeContext, NodeState};
 use lupincrank_reactor::{Connection, Lifecycle, Readiness};
 
-/// Passes completions on to the agent.
+/// Passes storage events to the agent.
 pub(super) struct StorageCompletions;
 
 impl Connection<NodeState> for StorageCompletions {
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -1,6 +1,6 @@
-//! A hollow node: a node's part in its cluster (membership, connections, control group, leases) without a data path. It is
-//! configured by the same two files as a real one, and runs the same code in an event loop of its own; many of them fit
-//! into a process, each in a thread. `crates/scale` measures clusters with them.
+//! A hollow node: the cluster agent of a node (membership, connections, control group, leases) without a data path. It
+//! is configured by the same two files as a full node and runs the same code in its own event loop. One process can run
+//! many hollow nodes, each in a thread. `crates/scale` uses them to measure large clusters.
 
 mod observer;
 
@@ -24,34 +24,34 @@
 /// The observer's id in the event loop.
 const OBSERVER: ComponentId = LAST_WELL_KNOWN_ID + 1;
 
-/// Why a hollow node cannot run. The messages include their sources'.
+/// Why a hollow node can't run. Each message includes that of its source.
 #[derive(Debug, thiserror::Error)]
 pub enum HollowNodeError {
-    /// The configuration does not hold.
-    #[error("the configuration: {0}")]
+    /// The configuration is invalid.
+    #[error("configuration: {0}")]
     Config(#[from] ConfigError),
-    /// The operator's file does not hold.
-    #[error("the operator's file: {0}")]
+    /// The operator's file is invalid.
+    #[error("operator's file: {0}")]
     OperatorFile(#[from] ParseError),
-    /// What the operator's file says of the cluster does not hold for this node.
-    #[error("the operator's file: {0}")]
+    /// The cluster settings are invalid for this node.
+    #[error("operator's file: {0}")]
     Cluster(#[from] ClusterConfigError),
-    /// The operator's file names no cluster.
-    #[error("the operator's file: there is no [fleet], and a hollow node has nothing else")]
+    /// The operator's file configures no cluster.
+    #[error("operator's file: no [fleet] section, which a hollow node requires")]
     NoCluster,
-    /// The event loop cannot begin.
+    /// The event loop can't be created.
     #[error(transparent)]
     EventLoop(#[from] io::Error),
-    /// The cluster's address or folder cannot be used.
+    /// The cluster agent can't start.
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// A hollow node, ready to run. `config` and `operator` are the texts of a real node's files, and `variable` looks up what
-/// its environment would say.
+/// Creates a hollow node and returns the function that runs it. `config` and `operator` are the texts of the two files,
+/// and `variable` looks up environment variables.
 ///
 /// # Errors
-/// Where a file does not hold, or the cluster's address or folder cannot be used.
+/// If a file is invalid, or the cluster agent can't start.
 pub fn start(
     config: &str,
     operator: &str,
@@ -91,7 +91,7 @@
 
 fn cluster_status(context: &NodeContext) -> ClusterStatus {
     let now = context.placement.now();
-    // Its address may be another process's still.
+    // The agent may still be waiting for its address or storage.
     let Some(agent) = &context.cluster_agent else {
         return ClusterStatus::default();
     };
@@ -103,16 +103,19 @@
         has_leader: control.has_leader(),
         is_leader: control.is_leader(),
         is_voter: control.is_voter(),
-        alive_count: agent.membership().alive().count() + 1,
+        live_count: agent.membership().live_members().count() + 1,
         lease_limit: control.lease_limit(now).limit,
     }
 }
 
-fn is_alive(context: &NodeContext, name: &str) -> bool {
+fn is_live(context: &NodeContext, name: &str) -> bool {
     let Some(agent) = &context.cluster_agent else {
         return false;
     };
-    agent.membership().alive().any(|member| member.name == name)
+    agent
+        .membership()
+        .live_members()
+        .any(|member| member.name == name)
 }
 
 impl Connection<NodeState> for ObserverComponent {
@@ -130,7 +133,7 @@
         let status = cluster_status(context);
         let usage = self
             .observer
-            .observe(&status, window, &|name| is_alive(context, name));
+            .observe(&status, window, &|name| is_live(context, name));
         if let Some(agent) = &mut context.cluster_agent {
             agent.control_mut().record_usage(usage);
         }
--- a/crates/node/src/hollow/observer.rs
+++ b/crates/node/src/hollow/observer.rs
@@ -1,38 +1,38 @@
-//! What stands for the data path of a hollow node.
+//! The replacement for the data path of a hollow node.
 
 use super::BudgetUsage;
 use std::time::Duration;
 
-/// How a node stands in its cluster.
+/// The status of a node in its cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterStatus {
-    /// The control group that it takes part in has applied entries up to this epoch; 0 without one.
+    /// The epoch: the number of entries that its control group has applied. 0 without a control group.
     pub epoch: u64,
-    /// The capacity of the slow-start budget that its control group hands out.
+    /// The capacity of the slow-start budget that its control group distributes.
     pub capacity: u32,
-    /// Whether it knows a leader of the control group.
+    /// Whether the node knows a leader of the control group.
     pub has_leader: bool,
-    /// Whether it is the leader.
+    /// Whether the node is the leader.
     pub is_leader: bool,
-    /// Whether it votes.
+    /// Whether the node is a voter.
     pub is_voter: bool,
-    /// Nodes that are alive as far as it knows, itself among them.
-    pub alive_count: usize,
-    /// What it may use of the slow-start budget now, in new connections in any window of the budget.
+    /// The number of nodes that the node reports as live, including itself.
+    pub live_count: usize,
+    /// The share of the slow-start budget that the node may use: new connections in any accounting window.
     pub lease_limit: u32,
 }
 
-/// Stands where the data path would: it is shown how its node stands, and says what it used of the slow-start budget.
+/// Replaces the data path: it receives the status of its node, and returns its usage of the slow-start budget.
 pub trait Observer {
-    /// The time from one call of [`observe`](Observer::observe) to the next.
+    /// The interval between two calls of [`observe`](Observer::observe).
     fn interval(&self) -> Duration;
 
-    /// Gives what was used since the last call: the peak in any `window`, and whether something was rejected for lack of a
-    /// lease. `is_alive` tells whether the node of that name is alive as far as this one knows.
+    /// Returns the usage since the last call: the peak in any `window`, and whether anything was rejected for lack of a
+    /// lease. `is_live` returns true if this node reports the node of that name as live.
     fn observe(
         &mut self,
         status: &ClusterStatus,
         window: Duration,
-        is_alive: &dyn Fn(&str) -> bool,
+        is_live: &dyn Fn(&str) -> bool,
     ) -> BudgetUsage;
 }
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -16,7 +16,7 @@
 )]
 #[case::no_fleet(
     "budgets show\r\n",
-    "error this node divides no budget with a fleet, or waits for its place there"
+    "error this node shares no budget with a cluster, or its cluster agent has not started"
 )]
 #[case::two_calls("check\r\nset-down s-0\r\n", "done")]
 #[case::empty("\r\n", "error the call is empty")]
--- a/crates/scale/src/hollow_host/budget_consumer.rs
+++ b/crates/scale/src/hollow_host/budget_consumer.rs
@@ -142,7 +142,7 @@
             budget_limit: status.capacity,
             has_leader: status.has_leader,
             is_voter: status.is_voter,
-            living_count: status.alive_count,
+            living_count: status.live_count,
             is_watched_alive,
             use_count: consumption.use_count,
             cpu_us: thread_cpu_us(),
