--- a/crates/node/src/cluster_agent/storage/writer.rs
+++ b/crates/node/src/cluster_agent/storage/writer.rs
@@ -33,7 +33,7 @@
     /// The storage thread has ended.
     #[error("storage thread has ended")]
     ThreadEnded,
-    /// The database library panicked.
+    /// The database library panicked, as it does on some kinds of damage.
     #[error("storage file is damaged")]
     FileDamaged,
     /// The database reported an error.
