--- a/crates/node/src/admin/call.rs
+++ b/crates/node/src/admin/call.rs
@@ -1,19 +1,19 @@
-//! The syntax of an admin call: one line of words.
+//! The parser of an admin call, which is one line of words.
 
 use thiserror::Error;
 
 /// An admin call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdminCall<'a> {
-    /// Whether this process can serve clients.
+    /// Check if this process can serve clients.
     Check,
-    /// Drain the server of this id.
+    /// Drain the server with this id.
     SetDown(&'a str),
-    /// Release the server of this id.
+    /// Release the server with this id.
     SetUp(&'a str),
-    /// Ask about the cluster, or recover its quorum.
+    /// Query the cluster, or recover its quorum.
     Cluster(&'a str),
-    /// Ask about a budget or change it.
+    /// Query the budgets or change one.
     Budgets(BudgetsCall<'a>),
 }
 
@@ -22,40 +22,40 @@
 pub(crate) struct BudgetsCall<'a> {
     /// `show`, `plan` or `set`.
     pub(crate) query: &'a str,
-    /// What to change.
+    /// The change of a budget.
     pub(crate) change: Option<&'a str>,
 }
 
-/// Why a line is not an admin call.
+/// The line is not a valid admin call.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum CallSyntaxError {
     /// The line is not UTF-8.
     #[error("the call is not UTF-8")]
     NotUtf8,
-    /// The line has no word.
+    /// The line contains no word.
     #[error("the call is empty")]
     Empty,
-    /// `budgets` stands alone.
+    /// `budgets` has no argument.
     #[error("budgets needs one of show, plan and set")]
     MissingBudgetsQuery,
-    /// `fleet` stands alone.
+    /// `fleet` has no argument.
     #[error("fleet needs one of status, members, log and reseed")]
     MissingClusterQuery,
-    /// `set-down` or `set-up` stands alone.
+    /// `set-down` or `set-up` has no argument.
     #[error("{0} needs the id of a transcriber")]
     MissingServer(String),
-    /// There are more words than the call takes.
+    /// The call has more arguments than it accepts.
     #[error("{0} has too many arguments")]
     TooManyArguments(String),
-    /// The first word is not that of a call.
+    /// The first word is not the name of a call.
     #[error("no call {0:?}; there are check, set-down ID, set-up ID, fleet and budgets")]
     UnknownCall(String),
 }
 
-/// Parses a line without its end.
+/// Parses a line without its line end.
 ///
 /// # Errors
-/// Where the line is not a call; the text says what is wrong with it.
+/// If the line is not a valid call.
 pub(crate) fn parse(line: &[u8]) -> Result<AdminCall<'_>, CallSyntaxError> {
     let text = std::str::from_utf8(line).map_err(|_| CallSyntaxError::NotUtf8)?;
     let words: Vec<&str> = text.split(' ').filter(|word| !word.is_empty()).collect();
--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -1,4 +1,4 @@
-//! A connection at the admin address: reads one call, writes its answer and waits for the caller's end.
+//! A connection to the admin address: reads one call, writes the answer and waits until the caller closes the connection.
 
 use super::handler::{handle, AdminCallError};
 use crate::command::{AdminConnectionCommand, Message};
@@ -14,27 +14,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The call has to be complete in this time.
+/// Time to receive the complete call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The caller has this long to close the connection after its answer.
+/// Time for the caller to close the connection after the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// What is read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// What is read of a caller in one turn of the event loop; one that sends more is closed.
+/// Limit of the bytes read from a caller per event loop iteration. If a caller sends more, its connection is closed.
 const MAX_BYTES_PER_TURN: usize = 4 * MAX_LINE_BYTES;
 
 /// The open connections, the oldest first.
 pub(super) type OpenConnections = Rc<RefCell<BTreeSet<ComponentId>>>;
 
-/// How far the call has come.
+/// The progress of the call.
 enum CallState {
-    /// What was received of the call.
+    /// The call is being received. Contains its received part.
     Receiving(Vec<u8>),
-    /// What is not yet written of the answer.
+    /// The answer is being written. Contains its unwritten part.
     Answered(Vec<u8>),
 }
 
-/// A connection with one call.
+/// A connection to the admin address, which carries one call.
 pub(super) struct AdminConnection {
     id: ComponentId,
     stream: Registered<TcpStream>,
@@ -49,7 +49,7 @@
 }
 
 impl AdminConnection {
-    /// A connection that was accepted; it counts as open until it is dropped.
+    /// Creates the component of an accepted connection, which counts as open until it is dropped.
     pub(super) fn new(
         id: ComponentId,
         stream: Registered<TcpStream>,
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Reads what has come already, and registers the connection with the event loop unless that was all.
+    /// Reads the bytes that have already arrived, and registers the connection with the event loop unless it is to be
+    /// closed.
     pub(super) fn start(mut self, context: &mut NodeContext) {
         if self.read(context) == Lifecycle::Close {
             return;
@@ -111,7 +112,7 @@
         Lifecycle::Close
     }
 
-    /// The caller sends no more.
+    /// Handles the end of the caller's input.
     fn on_end(&mut self, context: &mut NodeContext) -> Lifecycle {
         match &self.state {
             CallState::Receiving(call) if !call.is_empty() => {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Bytes were received; those after the call are ignored.
+    /// Handles received bytes. Bytes after the call are ignored.
     fn on_bytes(&mut self, context: &mut NodeContext, bytes: &[u8]) -> Lifecycle {
         let CallState::Receiving(received) = &mut self.state else {
             return Lifecycle::Continue;
@@ -156,8 +157,8 @@
         self.flush()
     }
 
-    /// Writes what is left of the answer and shuts down sending. The caller's end is awaited, for closing at once could
-    /// destroy an answer that it has not read yet.
+    /// Writes the rest of the answer and shuts down the sending side. The connection stays open until the caller closes it,
+    /// since closing it at once could discard an answer that the caller has not read yet.
     fn flush(&mut self) -> Lifecycle {
         let CallState::Answered(answer) = &mut self.state else {
             return Lifecycle::Continue;
--- a/crates/node/src/admin/handler.rs
+++ b/crates/node/src/admin/handler.rs
@@ -1,4 +1,4 @@
-//! Carries out admin calls.
+//! Executes admin calls.
 
 use super::call::{self, AdminCall, BudgetsCall, CallSyntaxError};
 use crate::cluster_agent::{self, BudgetCommandError, FleetCommandError};
@@ -9,44 +9,44 @@
 use slog::info;
 use thiserror::Error;
 
-/// The call that changes the cluster; the others of its kind only ask.
+/// The `fleet` call that changes the cluster. All other `fleet` calls only query it.
 const RECOVER_QUORUM: &str = "reseed";
-/// The call that changes a budget; the others of its kind only ask.
+/// The `budgets` call that changes a budget. All other `budgets` calls only query them.
 const SET_BUDGET: &str = "set";
 
-/// Why an admin call is answered with an error.
+/// The error with which an admin call is answered.
 #[derive(Debug, Error)]
 pub(crate) enum AdminCallError {
-    /// The line is not a call.
+    /// The line is not a valid call.
     #[error(transparent)]
     Syntax(#[from] CallSyntaxError),
-    /// The connection was closed within the call.
+    /// The caller's input ended before the end of the line.
     #[error("the call does not end")]
     Incomplete,
-    /// The call is longer than any that is read.
+    /// The call is longer than a line may be.
     #[error("the call is longer than 4 KiB")]
     TooLong,
-    /// The call was not complete in time.
+    /// The call was not received completely in time.
     #[error("no whole call came in time")]
     TimedOut,
-    /// Clients can't be served now.
+    /// This process can't serve clients.
     #[error(transparent)]
     NotServing(#[from] NotServingError),
-    /// No server of this id is listed or drained.
+    /// No server with this id is in the endpoint list or drained.
     #[error("no transcriber {0:?}")]
     UnknownServer(String),
     /// The drain could not be stored.
     #[error(transparent)]
     AdminDrainFile(#[from] AdminDrainFileError),
-    /// The cluster can't answer.
+    /// The `fleet` call has failed.
     #[error(transparent)]
     Cluster(#[from] FleetCommandError),
-    /// The budgets can't be shown or changed.
+    /// The `budgets` call has failed.
     #[error(transparent)]
     Budgets(#[from] BudgetCommandError),
 }
 
-/// Carries out the call of a line and returns what is answered after `done`.
+/// Executes the call in a line and returns the text that follows `done` in the answer.
 pub(super) fn handle(context: &mut NodeContext, line: &[u8]) -> Result<String, AdminCallError> {
     let call = call::parse(line)?;
     let outcome = execute(context, call);
@@ -58,7 +58,7 @@
     outcome
 }
 
-/// Calls that change something are logged; the others are made often.
+/// Returns true for calls that change something. The other calls are too frequent to be logged.
 fn is_logged(call: AdminCall<'_>) -> bool {
     match call {
         AdminCall::Check => false,
@@ -81,13 +81,13 @@
 }
 
 fn check(context: &mut NodeContext) -> Result<String, AdminCallError> {
-    // Whoever is answered with `done` may end the other process at once, which has to know of this one by then.
-    handoff::open_if_ready(context);
+    // A caller that receives `done` may terminate the other process at once. That process has to know by then that this
+    // one accepts clients.
+    handoff::accept_clients_if_ready(context);
     context.check_serving()?;
     Ok(String::new())
 }
 
-/// Drains or releases a server.
 fn change_drain(
     context: &mut NodeContext,
     server: &str,
@@ -98,7 +98,8 @@
         return Err(AdminCallError::UnknownServer(server.to_string()));
     }
     let before = context.placement.drained_servers();
-    // Stored before it is obeyed: what was answered with `done` holds across any end of this process.
+    // The change is stored before it takes effect, so a change that was answered with `done` survives any termination of
+    // this process.
     let drained = context
         .handoff
         .change_drained_servers(&id, change, before)?;
--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long the listener pauses when no descriptor is left.
+/// Pause of the listener after accepting has failed, such as for lack of a free descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Connections that one turn of the event loop accepts.
+/// Limit of connections accepted per event loop iteration.
 const MAX_ACCEPTS_PER_TURN: usize = 8;
 
 /// Accepts connections at the admin address.
@@ -31,10 +31,13 @@
     /// Listens on this address.
     ///
     /// # Errors
-    /// Where the address is in use or not this machine's; the error names it.
+    /// If the address is in use or not an address of this machine. The error contains the address.
     pub(crate) fn new(context: &NodeContext, address: SocketAddr) -> io::Result<AdminListener> {
-        let socket = poll::listen(address)
-            .map_err(|error| io::Error::other(format!("management at {address}: {error}")))?;
+        let socket = poll::listen(address).map_err(|error| {
+            io::Error::other(format!(
+                "cannot listen on management address {address}: {error}"
+            ))
+        })?;
         let key = poller_key(WellKnownComponent::AdminListener.id(), 0);
         let acceptor = Acceptor::new(&context.poller, socket, key)?;
         info!(context.log, "listening for admin calls"; "address" => %address);
@@ -45,7 +48,7 @@
         })
     }
 
-    /// Accepts what waits, and pauses where that fails for a moment.
+    /// Accepts waiting connections, and pauses the listener if that fails.
     fn accept_or_pause(&mut self, context: &mut NodeContext) {
         if let Err(error) = self.accept_connections(context) {
             warn!(context.log, "accepting admin calls paused"; "error" => %error);
@@ -69,7 +72,8 @@
         Ok(())
     }
 
-    /// Guards against connections by the hundred that carry no call and keep out one that does.
+    /// Closes the oldest connection if there are too many. Hundreds of connections without a call would otherwise exclude
+    /// one that carries a call.
     fn close_oldest_over_limit(&self, context: &mut NodeContext) {
         let mut open_connections = self.open_connections.borrow_mut();
         if open_connections.len() <= context.config.max_admin_connections() {
--- a/crates/node/src/admin/status_table.rs
+++ b/crates/node/src/admin/status_table.rs
@@ -1,21 +1,21 @@
-//! Lays out what a node answers about its cluster and its budgets as tables for people.
+//! Formats a node's answers about its cluster and its budgets as tables for operators.
 
 use serde_json::Value;
 use std::fmt::Write;
 use thiserror::Error;
 
-/// The column of a fact's name is this wide.
+/// Width of the name column in lines that show one value.
 const NAME_WIDTH: usize = 12;
 
-/// An answer that is not JSON.
+/// The answer is not JSON.
 #[derive(Debug, Error)]
-#[error("not to be read: {0}")]
+#[error("answer of the node is not valid JSON: {0}")]
 pub(crate) struct UnreadableAnswer(#[from] serde_json::Error);
 
-/// The answer to `budgets QUERY`, laid out: facts, then the lease of each node.
+/// Formats the answer to `budgets QUERY`: one line per value, then a table of the nodes' leases.
 ///
 /// # Errors
-/// Where the answer is not JSON.
+/// If the answer is not JSON.
 pub(crate) fn budgets_table(answer: &str) -> Result<String, UnreadableAnswer> {
     let answer: Value = serde_json::from_str(answer)?;
     let budgets = answer
@@ -26,10 +26,10 @@
     Ok(sections.join("\n"))
 }
 
-/// The answer to `fleet QUERY`, laid out.
+/// Formats the answer to `fleet QUERY`.
 ///
 /// # Errors
-/// Where the answer is not JSON.
+/// If the answer is not JSON.
 pub(crate) fn cluster_table(query: &str, answer: &str) -> Result<String, UnreadableAnswer> {
     let answer: Value = serde_json::from_str(answer)?;
     Ok(match query {
@@ -43,7 +43,7 @@
     })
 }
 
-/// The lines of one budget's facts, and its table of leases if it has any.
+/// Formats one budget: one line per value, then the table of leases if there are any.
 fn budget_sections(budget: &Value) -> Vec<String> {
     let facts = budget.as_object().cloned().unwrap_or_default();
     let mut sections: Vec<String> = facts
@@ -71,9 +71,9 @@
     }
     let members = list_items(&control["parts"])
         .iter()
-        .map(|part| {
-            let mut row = fields(&part["member"], &["name", "zone", "build"]);
-            row.extend(fields(part, &["role", "alive", "slice"]));
+        .map(|participant| {
+            let mut row = fields(&participant["member"], &["name", "zone", "build"]);
+            row.extend(fields(participant, &["role", "alive", "slice"]));
             row
         })
         .collect();
@@ -104,7 +104,7 @@
     ]
 }
 
-/// A table of a list of records, with a column for each key.
+/// Formats a list of records as a table with a column for each key.
 fn records_table(records: &Value, keys: &[&str]) -> String {
     let rows = list_items(records)
         .iter()
@@ -125,7 +125,7 @@
     format!("{name:NAME_WIDTH$}  {fact}")
 }
 
-/// A value without quotes; `-` for none.
+/// Formats a value without quotes, and null as `-`.
 fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Rows with columns as wide as their widest field.
+/// Formats a table whose columns are as wide as their widest field.
 fn text_table(header: &[&str], rows: Vec<Vec<String>>) -> String {
     let header = header.iter().map(ToString::to_string).collect();
     let mut lines: Vec<Vec<String>> = vec![header];
--- a/crates/node/src/admin/status_table/tests.rs
+++ b/crates/node/src/admin/status_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use rstest::rstest;
 
-/// The tables were printed by revision c925b3d; people and scripts read them.
+/// The fixtures fix the format of the tables, which operators' scripts parse.
 #[rstest]
 #[case::status("status", include_str!("fixtures/status.json"), include_str!("fixtures/status.txt"))]
 #[case::members("members", include_str!("fixtures/members.json"), include_str!("fixtures/members.txt"))]
@@ -16,7 +16,7 @@
     assert_eq!(format!("{table}\n"), expected);
 }
 
-/// See above.
+/// As above, for budgets.
 #[rstest]
 #[case::show(include_str!("fixtures/budgets.json"), include_str!("fixtures/budgets.txt"))]
 #[case::plan(include_str!("fixtures/plan.json"), include_str!("fixtures/plan.txt"))]
@@ -27,7 +27,8 @@
 
 #[test]
 fn an_answer_that_is_not_json_is_an_error() {
-    let expected = "not to be read: EOF while parsing a value at line 1 column 9";
+    let expected =
+        "answer of the node is not valid JSON: EOF while parsing a value at line 1 column 9";
     for error in [
         cluster_table("status", "{\"fleet\":").unwrap_err(),
         budgets_table("{\"fleet\":").unwrap_err(),
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -1,5 +1,5 @@
-//! One HTTP call to the discovery service that opens a watch: a response without end, whose body is one JSON object for
-//! each change of the endpoint list.
+//! One HTTP call to discovery that opens a watch: an endless response whose body contains one JSON object for each change of
+//! the endpoint list.
 
 use super::chunked::{BodyState, ChunkError, ChunkedDecoder};
 use super::endpoint_list::EndpointListError;
@@ -13,40 +13,40 @@
 use std::time::{Instant, SystemTime};
 use thiserror::Error;
 
-/// The longest response head that is read.
+/// Maximum length of a response head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Header fields that a response may have.
+/// Maximum number of header fields in a response.
 const MAX_HEADERS: usize = 32;
 const STATUS_OK: u16 = 200;
 
-/// Why a call to the discovery service has failed.
+/// A call to discovery has failed.
 #[derive(Debug, Error)]
 pub(crate) enum DiscoveryError {
     /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The service closed the connection.
-    #[error("it ended the connection")]
+    /// Discovery closed the connection.
+    #[error("discovery closed the connection")]
     ConnectionClosed,
-    /// The service ended the response.
-    #[error("the watch ended")]
+    /// Discovery ended the response.
+    #[error("discovery ended the watch")]
     WatchEnded,
-    /// The connection, the answer or the next part of the list is overdue.
-    #[error("nothing came in time")]
+    /// The connection, the answer or the next part of the list was not received in time.
+    #[error("discovery did not answer in time")]
     TimedOut,
-    /// The response head can't be read.
+    /// The response head is invalid.
     #[error(transparent)]
     ResponseHead(#[from] httparse::Error),
-    /// The response head is longer than any that is read.
-    #[error("the head is too long")]
+    /// The response head is longer than [`MAX_HEAD_BYTES`].
+    #[error("response head of discovery is longer than 16 KiB")]
     HeadTooLong,
-    /// The response does not open a watch.
-    #[error("status {0}")]
+    /// The status of the response is not 200.
+    #[error("discovery answered with HTTP status {0}")]
     Status(u16),
-    /// The response is not in the chunked coding.
-    #[error("the answer is not chunked")]
+    /// The response does not use the chunked transfer coding.
+    #[error("response of discovery is not chunked")]
     NotChunked,
-    /// The body is not in the chunked coding.
+    /// The chunked transfer coding of the body is invalid.
     #[error(transparent)]
     Chunk(#[from] ChunkError),
     /// The body is not a stream of JSON objects.
@@ -60,13 +60,13 @@
     EndpointList(#[from] EndpointListError),
 }
 
-/// How far a call has come.
+/// The progress of a call.
 enum CallPhase {
     /// The connection is not established yet.
     Connecting,
-    /// What was received of the response head.
+    /// The request is being sent, or the response head received. Contains the received part of the head.
     ResponseHead(Vec<u8>),
-    /// The body is received: the call is a watch.
+    /// The response head is complete, so the call is a watch and receives the body.
     Watching(WatchBody),
 }
 
@@ -77,43 +77,43 @@
     json_stream: JsonStream,
 }
 
-/// Whether the request was written.
+/// The progress of sending the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteState {
-    /// All of it was.
+    /// The request was sent completely.
     Sent,
-    /// The socket takes no more for now.
+    /// The socket buffer is full.
     Pending,
 }
 
-/// What was added to the body of a watch.
+/// The effect of bytes that were added to the body of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BodyProgress {
-    /// Data was received, if only an empty line.
+    /// The bytes contain data, if only an empty line.
     pub(crate) has_data: bool,
-    /// An object had begun before it.
+    /// The body ended with an incomplete object before these bytes.
     pub(crate) had_partial_object: bool,
-    /// Whether the body goes on.
+    /// Whether the body has ended.
     pub(crate) state: BodyState,
 }
 
 /// The head of a response that opens a watch.
 struct WatchHead {
-    /// Its length in bytes.
+    /// The length of the head in bytes.
     length: usize,
-    /// The service's wall clock when it answered, to the second, if it tells that.
+    /// The wall clock time of the answer according to discovery, with a resolution of 1 s, if the response contains it.
     date: Option<SystemTime>,
 }
 
-/// A response head was received to its end.
+/// The result of a complete response head.
 pub(crate) struct WatchStart {
-    /// The bytes after it, which belong to the body.
+    /// The bytes after the head, which belong to the body.
     pub(crate) body: Vec<u8>,
-    /// The service's wall clock when it answered, to the second, if it tells that.
+    /// The wall clock time of the answer according to discovery, with a resolution of 1 s, if the response contains it.
     pub(crate) date: Option<SystemTime>,
 }
 
-/// A call to the discovery service.
+/// A call to discovery.
 pub(crate) struct Call {
     started_at: Instant,
     stream: Registered<TcpStream>,
@@ -122,10 +122,10 @@
 }
 
 impl Call {
-    /// Begins to connect, for a watch of the list from this version on. `key` is the poller's key of the socket.
+    /// Starts to connect, for a watch of the list from this version on. `key` is the socket's key in the poller.
     ///
     /// # Errors
-    /// Where no connection can be begun.
+    /// If the connection can't be started.
     pub(crate) fn start(
         poller: &Rc<Poller>,
         key: usize,
@@ -144,22 +144,22 @@
         })
     }
 
-    /// When the call was made.
+    /// The time when the call was started.
     pub(crate) fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Whether the connection is not established yet.
+    /// Returns true while the connection is not established.
     pub(crate) fn is_connecting(&self) -> bool {
         matches!(self.phase, CallPhase::Connecting)
     }
 
-    /// Whether the response head was received, so that the call is a watch.
+    /// Returns true if the response head is complete, so that the call is a watch.
     pub(crate) fn is_watching(&self) -> bool {
         matches!(self.phase, CallPhase::Watching(_))
     }
 
-    /// Whether an object of the body has begun and not ended.
+    /// Returns true if the received part of the body ends with an incomplete object.
     pub(crate) fn has_partial_object(&self) -> bool {
         match &self.phase {
             CallPhase::Watching(body) => body.json_stream.has_partial_object(),
@@ -167,10 +167,10 @@
         }
     }
 
-    /// The socket has reported the outcome of the connect.
+    /// Checks the result of the connect, which the socket has reported.
     ///
     /// # Errors
-    /// Where the connection was not established.
+    /// If the connection was not established.
     pub(crate) fn finish_connect(&mut self) -> Result<(), DiscoveryError> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error.into());
@@ -179,10 +179,10 @@
         Ok(())
     }
 
-    /// Writes what is left of the request; once all is written, the socket is read.
+    /// Sends the rest of the request. When it is sent completely, the interest of the socket changes to reading.
     ///
     /// # Errors
-    /// Where the connection fails.
+    /// If the connection fails.
     pub(crate) fn send_request(&mut self) -> Result<WriteState, DiscoveryError> {
         while !self.unsent.is_empty() {
             match self.stream.write(&self.unsent) {
@@ -197,10 +197,10 @@
         Ok(WriteState::Sent)
     }
 
-    /// Reads bytes of the response; `None` if there are none now.
+    /// Reads bytes of the response. Returns `None` if none have arrived.
     ///
     /// # Errors
-    /// Where the connection fails or is closed by the service.
+    /// If the connection fails or is closed by discovery.
     pub(crate) fn read(&mut self, buffer: &mut [u8]) -> Result<Option<usize>, DiscoveryError> {
         match self.stream.read(buffer) {
             Ok(0) => Err(DiscoveryError::ConnectionClosed),
@@ -210,10 +210,10 @@
         }
     }
 
-    /// Adds bytes to the response head. Once it is complete the call is a watch; `None` while it is incomplete.
+    /// Adds bytes to the response head. Returns `None` while it is incomplete. When it is complete, the call is a watch.
     ///
     /// # Errors
-    /// Where the response does not open a watch.
+    /// If the response does not open a watch.
     pub(crate) fn receive_head(
         &mut self,
         bytes: &[u8],
@@ -233,7 +233,7 @@
     /// Adds bytes to the body of the watch.
     ///
     /// # Errors
-    /// Where they are not in the chunked coding.
+    /// If the chunked transfer coding is invalid.
     pub(crate) fn receive_body(&mut self, bytes: &[u8]) -> Result<BodyProgress, DiscoveryError> {
         let CallPhase::Watching(body) = &mut self.phase else {
             return Err(DiscoveryError::WatchEnded);
@@ -252,7 +252,7 @@
     /// Removes and returns the next complete object of the body.
     ///
     /// # Errors
-    /// Where the body is not a stream of JSON objects.
+    /// If the body is not a stream of JSON objects.
     pub(crate) fn next_object(&mut self) -> Result<Option<Vec<u8>>, DiscoveryError> {
         match &mut self.phase {
             CallPhase::Watching(body) => Ok(body.json_stream.next_object()?),
@@ -261,7 +261,7 @@
     }
 }
 
-/// A complete response head that opens a watch; `None` while it is incomplete.
+/// Parses a response head that opens a watch. Returns `None` while it is incomplete.
 fn parse_watch_head(bytes: &[u8]) -> Result<Option<WatchHead>, DiscoveryError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -286,7 +286,7 @@
         && header.value.eq_ignore_ascii_case(b"chunked")
 }
 
-/// The time of a `Date` header. One that can't be read tells nothing.
+/// Returns the time of a `Date` header. An invalid one is ignored.
 fn parse_date(header: &httparse::Header<'_>) -> Option<SystemTime> {
     if !header.name.eq_ignore_ascii_case("date") {
         return None;
--- a/crates/node/src/discovery/chunked.rs
+++ b/crates/node/src/discovery/chunked.rs
@@ -1,22 +1,22 @@
-//! The decoder of HTTP's chunked transfer coding.
+//! A decoder of HTTP's chunked transfer coding.
 
 use thiserror::Error;
 
-/// A line of a chunk size, with its extensions, is shorter than this.
+/// Limit of the length of a chunk size line, with its extensions.
 const MAX_SIZE_LINE_BYTES: usize = 1024;
 
-/// Why bytes are not in the chunked coding.
+/// The chunked transfer coding is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ChunkError {
-    /// The chunk's data is not followed by a line end.
-    #[error("a chunk does not end where it should")]
+    /// The chunk's data is not followed by CRLF.
+    #[error("chunk data is not followed by CRLF")]
     MissingLineEnd,
-    /// A chunk size was expected.
-    #[error("not a chunk size")]
+    /// The chunk size line is invalid or too long.
+    #[error("invalid chunk size")]
     Size,
 }
 
-/// Whether the body goes on after what was decoded.
+/// The state of the body after the decoded bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyState {
     /// More chunks may follow.
@@ -25,13 +25,13 @@
     Ended,
 }
 
-/// What the decoder expects next.
+/// The next expected element of the coding.
 #[derive(Clone, Copy, Debug, Default)]
 enum Expecting {
     /// The line with the size of a chunk.
     #[default]
     Size,
-    /// So many bytes of a chunk.
+    /// This number of bytes of a chunk's data.
     Data(u64),
     /// The carriage return after a chunk.
     CarriageReturn,
@@ -39,19 +39,19 @@
     LineFeed,
 }
 
-/// Decodes a body however its bytes are cut up.
+/// Decodes a body that is received in pieces of any length.
 #[derive(Default)]
 pub(crate) struct ChunkedDecoder {
-    /// What was received and is not decoded yet.
+    /// Received bytes that are not decoded yet.
     input: Vec<u8>,
     expecting: Expecting,
 }
 
 impl ChunkedDecoder {
-    /// Takes bytes and appends the data that they hold to `output`.
+    /// Decodes received bytes and appends the data to `output`.
     ///
     /// # Errors
-    /// Where the bytes are not in the chunked coding; nothing can be decoded after that.
+    /// If the chunked coding is invalid. Nothing can be decoded after an error.
     pub(crate) fn decode(
         &mut self,
         bytes: &[u8],
@@ -64,7 +64,7 @@
         Ok(state)
     }
 
-    /// Decodes what was received from `position` on, as far as it goes.
+    /// Decodes the received bytes from `position` on, as far as they are complete.
     fn decode_input(
         &mut self,
         position: &mut usize,
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The component that keeps a watch on the endpoint list, with a second call beside one that is not answered.
+//! The event loop component that watches the endpoint list. It makes a second call in parallel with an unanswered one.
 
 use super::call::{Call, DiscoveryError, WriteState};
 use super::chunked::BodyState;
@@ -18,47 +18,49 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A call without an answer in this time has failed. There is a second one beside it by then.
+/// Time after which an unanswered call has failed. A second call has been made in parallel by then.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4500);
-/// A connection that is not established in this time will not be: the kernel retries after 1 s.
+/// Time after which a connection that is not established has failed. It covers the kernel's first retry, after 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1250);
-/// A call that this machine refuses to make is made again after this time, at the most so often in a row. That says nothing
-/// of the service, and must not cost the time that the calls to it have.
+/// Delay before a call is retried that has failed for a local reason. A local failure says nothing about discovery, and must
+/// not use up the time that is available for calls to it.
 const LOCAL_FAILURE_BACKOFF: Duration = Duration::from_millis(20);
+/// Consecutive local failures after which a further one counts as a failed call.
 const MAX_LOCAL_FAILURES: u32 = 50;
-/// The service sends an empty line every 2 s; a watch that brings nothing complete for half as long again is dead. Changes
-/// that it misses count as announced 6 s after it fell silent: that leaves time for a call, spread over the nodes, and for
-/// a second one if that call hangs.
+/// Time without a complete object or an empty line after which a watch has failed. Discovery sends an empty line every 2 s.
+/// Changes that the watch misses count as announced 6 s after its last data, which leaves time for a call, with a delay
+/// that spreads the calls of all nodes, and for a second call if the first one hangs.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// What is read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// Reads of one call in one turn of the event loop: guards against a long list that keeps clients waiting.
+/// Limit of reads of one call per event loop iteration, so that a long list does not delay clients.
 const MAX_READS_PER_TURN: usize = 16;
-/// The watch or the calls that are to open it.
+/// Maximum number of open calls: the watch, or the calls that are to open it.
 const CALL_SLOTS: usize = 2;
 
-/// The client of the discovery service.
+/// The client of service discovery.
 pub(crate) struct DiscoveryClient {
     address: SocketAddr,
-    /// The version of the endpoint list that was applied last.
+    /// The version of the last applied endpoint list.
     version: u64,
     endpoint_resolver: EndpointResolver,
-    /// The list that the configuration holds, until it is applied.
+    /// The endpoint list of the configuration, until it is applied.
     known_list: Option<EndpointListUpdate>,
-    /// The second call is made when the first is not answered. The first of them that brings something complete is the
-    /// watch, and the other one is closed.
+    /// The second call is made if the first is unanswered. The first call to receive an empty line or a complete object
+    /// becomes the watch, and the other one is closed.
     calls: [Option<Call>; CALL_SLOTS],
-    /// When the service last sent something, or showed by refusing or ending a call that nothing can be missed.
+    /// The last time when discovery sent complete data, or refused, failed or closed a call. No change before that time
+    /// counts as missed.
     last_contact: Instant,
-    /// Calls in a row that this machine refused to make.
+    /// Number of consecutive calls that failed for a local reason.
     local_failures: u32,
-    /// A watch has brought something complete, if only that nothing has changed: what the next list shows first has started
-    /// since the last contact.
-    has_watched: bool,
+    /// A watch has received complete data, if only an empty line. A server that is then listed for the first time has
+    /// started since the last contact.
+    has_received_watch_data: bool,
 }
 
 impl DiscoveryClient {
-    /// Not connected yet.
+    /// Creates a client without a connection.
     pub(crate) fn new(config: &Config) -> DiscoveryClient {
         DiscoveryClient {
             address: config.discovery_address,
@@ -68,16 +70,16 @@
             calls: [None, None],
             last_contact: Instant::now(),
             local_failures: 0,
-            has_watched: false,
+            has_received_watch_data: false,
         }
     }
 
-    /// Whether a call is under way or a watch is open.
+    /// Returns true if a call is in progress or a watch is open.
     fn has_call(&self) -> bool {
         self.calls.iter().any(Option::is_some)
     }
 
-    /// Applies the list that the configuration holds, once.
+    /// Applies the endpoint list of the configuration, once.
     fn apply_known_list(&mut self, context: &mut NodeContext) {
         let Some(known_list) = self.known_list.take() else {
             return;
@@ -98,7 +100,7 @@
         source: EndpointListSource,
     ) -> Result<(), EndpointListError> {
         update.check()?;
-        let not_listed_at = self.has_watched.then_some(self.last_contact);
+        let not_listed_at = self.has_received_watch_data.then_some(self.last_contact);
         let scope = if update.is_complete {
             EndpointListScope::Complete
         } else {
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    /// Makes a call. One that can't even begin has failed, unless it is this machine that refuses it for a moment.
+    /// Makes a call. If it can't be started, it has failed, unless the reason is local and temporary.
     fn call(&mut self, context: &mut NodeContext) {
         match self.start_call(context) {
             Ok(()) => {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Makes a call, in place of the older one if there are two already.
+    /// Starts a call. If two calls are open, the older one is closed.
     fn start_call(&mut self, context: &mut NodeContext) -> io::Result<()> {
         let slot = self.slot_for_new_call();
         self.close_call(context, slot);
@@ -157,7 +159,7 @@
         Ok(())
     }
 
-    /// A free slot, or that of the older call.
+    /// Returns a free slot, or that of the older call.
     fn slot_for_new_call(&self) -> usize {
         let [first, second] = self
             .calls
@@ -171,7 +173,7 @@
         clear_deadline(context, DiscoveryDeadline::Call(slot));
     }
 
-    /// A call has failed and is closed; one beside it goes on.
+    /// Handles the failure of a call, which is already closed. A parallel call continues.
     fn on_failure(&mut self, context: &mut NodeContext, error: &DiscoveryError) {
         self.log_failure(context, error);
         if !self.has_call() {
@@ -184,7 +186,7 @@
         warn!(context.log, "discovery failed"; "error" => %error, "seq" => self.version);
     }
 
-    /// A call's socket is ready.
+    /// Handles the readiness of a call's socket.
     fn on_call_ready(
         &mut self,
         context: &mut NodeContext,
@@ -218,7 +220,7 @@
         Ok(())
     }
 
-    /// Bytes of a response were received.
+    /// Handles received bytes of a response.
     fn on_bytes(
         &mut self,
         context: &mut NodeContext,
@@ -241,7 +243,7 @@
         self.on_body(context, slot, &start.body)
     }
 
-    /// Bytes of a watch's body were received.
+    /// Handles received bytes of a watch's body.
     fn on_body(
         &mut self,
         context: &mut NodeContext,
@@ -256,17 +258,17 @@
         let has_partial_object = self.calls[slot]
             .as_ref()
             .is_some_and(Call::has_partial_object);
-        // An empty line is complete too.
-        let is_alive = has_update || (!has_partial_object && progress.has_data);
+        // An empty line is complete data too.
+        let has_complete_data = has_update || (!has_partial_object && progress.has_data);
         let object_began = has_partial_object && !progress.had_partial_object;
-        // The rest of an object that has begun is due as soon as anything else: guards against a list that comes byte by
-        // byte and never ends, while its changes count as announced.
-        if is_alive || object_began {
+        // For an incomplete object, the deadline is set once, at its beginning. Otherwise a list that is received byte by
+        // byte and never ends would keep the watch open, although its changes count as announced.
+        if has_complete_data || object_began {
             let deadline = Instant::now() + WATCH_TIMEOUT;
             set_deadline(context, DiscoveryDeadline::Call(slot), deadline);
         }
-        if is_alive {
-            self.on_watch_alive(context, slot);
+        if has_complete_data {
+            self.on_watch_data(context, slot);
         }
         match progress.state {
             BodyState::Open => Ok(()),
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Applies the updates that were received in full; whether there were any.
+    /// Applies all complete updates. Returns true if there was one.
     fn apply_received_updates(
         &mut self,
         context: &mut NodeContext,
@@ -297,10 +299,10 @@
         Ok(has_update)
     }
 
-    /// A watch has brought something complete: the call beside it is not needed.
-    fn on_watch_alive(&mut self, context: &mut NodeContext, slot: usize) {
+    /// Handles complete data from a watch: a parallel call is closed, as it is not needed.
+    fn on_watch_data(&mut self, context: &mut NodeContext, slot: usize) {
         self.last_contact = Instant::now();
-        self.has_watched = true;
+        self.has_received_watch_data = true;
         let other_slot = CALL_SLOTS - 1 - slot;
         self.close_call(context, other_slot);
         clear_deadline(context, DiscoveryDeadline::SecondCall);
@@ -311,7 +313,7 @@
         );
     }
 
-    /// A call's connection, its answer or the next part of its body is overdue.
+    /// Handles a call whose connection, answer or next part of the body is overdue.
     fn on_call_timeout(&mut self, context: &mut NodeContext, slot: usize) {
         let call = self.calls[slot].as_ref();
         let was_watching = call.is_some_and(Call::is_watching);
@@ -326,7 +328,7 @@
             context.placement.on_watch_silent();
             return;
         }
-        // The failure is this node's own finding, so nothing has shown that nothing can be missed.
+        // Discovery has neither refused nor closed the call, so changes may have been missed since the last contact.
         let since_contact = self.last_contact.elapsed();
         if was_connecting && poll_schedule::reconnects_immediately(since_contact) {
             self.log_failure(context, &DiscoveryError::TimedOut);
@@ -336,8 +338,8 @@
         self.on_failure(context, &DiscoveryError::TimedOut);
     }
 
-    /// The configuration names another address. What is known stays: the watch at the new address goes on from the last
-    /// version of the old one.
+    /// Switches to the configuration's changed address. The endpoints stay, and the watch at the new address continues from
+    /// the last version received from the old one.
     fn change_address(&mut self, context: &mut NodeContext) {
         self.address = context.config.discovery_address;
         for slot in 0..CALL_SLOTS {
@@ -346,10 +348,12 @@
     }
 }
 
-fn set_deadline(context: &mut NodeContext, deadline: DiscoveryDeadline, at: Instant) {
-    context
-        .deadlines
-        .set(WellKnownComponent::Discovery.id(), deadline.into(), at);
+fn set_deadline(context: &mut NodeContext, deadline: DiscoveryDeadline, expires_at: Instant) {
+    context.deadlines.set(
+        WellKnownComponent::Discovery.id(),
+        deadline.into(),
+        expires_at,
+    );
 }
 
 fn clear_deadline(context: &mut NodeContext, deadline: DiscoveryDeadline) {
@@ -391,7 +395,8 @@
             self.change_address(context);
         }
         self.apply_known_list(context);
-        // A call that is under way is the newer one: an earlier failure asked for this before the address changed.
+        // If a call is in progress, this command is outdated: it was sent after an earlier failure, before the address
+        // changed.
         if command != DiscoveryCommand::ApplyKnownList && !self.has_call() {
             self.call(context);
         }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,41 +1,41 @@
-//! The endpoint list as the discovery service writes it.
+//! The endpoint list in the format of discovery.
 
 use lupincrank_placement::Health;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why an endpoint list can't be applied.
+/// The endpoint list can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EndpointListError {
-    /// An endpoint's address can't be read.
-    #[error("{server:?}: dial {address:?} is not an address:port")]
+    /// The address of an endpoint is invalid.
+    #[error("endpoint {server:?}: dial {address:?} is not an address:port")]
     Address {
-        /// The endpoint's server.
+        /// The id of the endpoint's server.
         server: String,
-        /// The address as it was written.
+        /// The address as it was received.
         address: String,
     },
-    /// An endpoint's health is not one that is known.
-    #[error("{server:?}: unknown health {health:?}")]
+    /// The health of an endpoint is unknown.
+    #[error("endpoint {server:?}: unknown health {health:?}")]
     Health {
-        /// The endpoint's server.
+        /// The id of the endpoint's server.
         server: String,
-        /// The health as it was written.
+        /// The health as it was received.
         health: String,
     },
 }
 
-/// The endpoint list or a change of it.
+/// A complete endpoint list or a change of it.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct EndpointListUpdate {
     /// The version of the list after this update.
     #[serde(rename = "seq")]
     pub(crate) version: u64,
-    /// Whether every endpoint is named; otherwise only the changed ones are.
+    /// Whether the update contains all endpoints, rather than the changed ones only.
     #[serde(rename = "whole")]
     pub(crate) is_complete: bool,
-    /// The endpoints.
+    /// All endpoints, or the changed ones.
     #[serde(rename = "hosts")]
     pub(crate) endpoints: Vec<ListedEndpoint>,
 }
@@ -44,7 +44,7 @@
     /// Checks that every endpoint can be applied.
     ///
     /// # Errors
-    /// For the first endpoint whose address or health can't be read.
+    /// If an endpoint has an invalid address or an unknown health; the error names the first one.
     pub(crate) fn check(&self) -> Result<(), EndpointListError> {
         for endpoint in &self.endpoints {
             endpoint.dial_address()?;
@@ -54,39 +54,39 @@
     }
 }
 
-/// One endpoint, as the discovery service writes it.
+/// One endpoint, in the format of discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct ListedEndpoint {
     /// The server's id.
     #[serde(rename = "host")]
     pub(crate) server: String,
-    /// Where the server listens, as this node reaches it.
+    /// The address at which this node reaches the server.
     #[serde(rename = "dial")]
     pub(crate) address: String,
-    /// The name of its zone.
+    /// The name of the server's zone.
     #[serde(rename = "site")]
     pub(crate) zone: Option<String>,
-    /// The name of its machine kind.
+    /// The name of the server's machine kind.
     #[serde(rename = "class")]
     pub(crate) machine_kind: Option<String>,
-    /// The number of its cell.
+    /// The number of the server's cell.
     #[serde(rename = "block")]
     pub(crate) cell: Option<u32>,
-    /// Its health: `SERVING`, `DRAINING` or `DELETED`.
+    /// The server's health: `SERVING`, `DRAINING` or `DELETED`.
     pub(crate) health: String,
-    /// Its weight; 1 where none is given.
+    /// The server's weight, 1 by default.
     #[serde(rename = "share")]
     pub(crate) weight: Option<f64>,
-    /// When it was started, in milliseconds of Unix time.
+    /// The time when the server was started, in milliseconds of Unix time.
     #[serde(rename = "born_ms")]
     pub(crate) started_at_ms: Option<u64>,
 }
 
 impl ListedEndpoint {
-    /// Where the server listens, as this node reaches it.
+    /// Parses the address at which this node reaches the server.
     ///
     /// # Errors
-    /// Where that is not an address with a port.
+    /// If it is not an address with a port.
     pub(crate) fn dial_address(&self) -> Result<SocketAddr, EndpointListError> {
         self.address
             .parse()
@@ -96,10 +96,10 @@
             })
     }
 
-    /// The server's health.
+    /// Parses the server's health.
     ///
     /// # Errors
-    /// Where it is not one of the known words.
+    /// If the health is unknown.
     pub(crate) fn parsed_health(&self) -> Result<Health, EndpointListError> {
         match self.health.as_str() {
             "SERVING" => Ok(Health::Ready),
@@ -113,7 +113,7 @@
     }
 }
 
-/// The number of a name: its position in `names`, where a new name is appended; 0 for no name.
+/// Returns the index of a name in `names`, to which a new name is appended. Without a name, the index is 0.
 pub(crate) fn name_index(names: &mut Vec<String>, name: Option<&str>) -> u32 {
     let Some(name) = name else {
         return 0;
--- a/crates/node/src/discovery/endpoint_resolver.rs
+++ b/crates/node/src/discovery/endpoint_resolver.rs
@@ -1,4 +1,4 @@
-//! Turns entries of the endpoint list into what the placement is told of them.
+//! Converts entries of the endpoint list into the endpoints that placement uses.
 
 use super::endpoint_list::{name_index, EndpointListError, EndpointListUpdate, ListedEndpoint};
 use crate::config::Config;
@@ -6,14 +6,14 @@
 use lupincrank_placement::{Endpoint, ServerId};
 use std::time::Instant;
 
-/// The names of zones and machine kinds; their positions are the numbers that the placement is given.
+/// The names of zones and machine kinds. Their indices are the numbers that placement uses.
 pub(super) struct EndpointResolver {
     zones: Vec<String>,
     machine_kinds: Vec<String>,
 }
 
 impl EndpointResolver {
-    /// Begins with the names of the settings; further ones are added as they come.
+    /// Creates a resolver with the names of the settings. Further names are added when an entry contains them.
     pub(super) fn new(config: &Config) -> EndpointResolver {
         EndpointResolver {
             zones: config.zones.clone(),
@@ -21,10 +21,11 @@
         }
     }
 
-    /// Resolves one entry. `not_listed_at` is when discovery was last heard of before it; `None` for its first list.
+    /// Resolves one entry. `not_listed_at` is the time of the last contact with discovery before the list with this entry;
+    /// `None` for the first list.
     ///
     /// # Errors
-    /// Where its address or its health can't be read.
+    /// If the address is invalid or the health is unknown.
     pub(super) fn resolve(
         &mut self,
         placement: &mut PlacementDriver,
@@ -50,7 +51,7 @@
     }
 }
 
-/// The starts of the servers of a list, without those whose health can't be read.
+/// Returns the start times of the servers of a list, except for servers with an unknown health.
 pub(super) fn listed_starts(update: &EndpointListUpdate) -> impl Iterator<Item = ListedStart> + '_ {
     update.endpoints.iter().filter_map(|endpoint| {
         Some(ListedStart {
--- a/crates/node/src/discovery/json_stream.rs
+++ b/crates/node/src/discovery/json_stream.rs
@@ -1,24 +1,24 @@
-//! Divides a stream of bytes into the JSON objects that it holds, however they are laid out and wherever the bytes are cut.
-//! The discovery service writes one object a line, or indented over many lines. What an object holds is read by a JSON
-//! library; this module only finds its end.
+//! Splits a stream of bytes into JSON objects, whatever their layout and wherever the bytes are split. Discovery writes each
+//! object on one line, or indented over several lines. This module only finds the end of an object; a JSON library parses
+//! the contents.
 
 use thiserror::Error;
 
-/// The longest object that is read.
+/// Maximum length of an object.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Why a stream holds no further object.
+/// The stream contains no further valid object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum JsonStreamError {
     /// Something other than an object or white space was found between two objects.
-    #[error("{0:?} where an object begins")]
+    #[error("found {0:?} instead of the start of a JSON object")]
     UnexpectedCharacter(char),
-    /// The object has no end within the longest length that is read.
-    #[error("an object is too long")]
+    /// The object is longer than [`MAX_OBJECT_BYTES`].
+    #[error("JSON object is longer than 4 MiB")]
     ObjectTooLong,
 }
 
-/// Where in an object's text the scan stands.
+/// The context of the next byte to be scanned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
     /// Outside strings.
@@ -30,13 +30,13 @@
     Escape,
 }
 
-/// A buffer of received bytes that returns one JSON object after the other.
+/// A buffer of received bytes that returns the JSON objects one by one.
 #[derive(Default)]
 pub(crate) struct JsonStream {
     buffer: Vec<u8>,
-    /// How far the buffer has been scanned.
+    /// Number of bytes of the buffer that have been scanned.
     scanned: usize,
-    /// Braces and brackets that are open there.
+    /// Number of braces and brackets that are open after the scanned bytes.
     depth: usize,
     state: ScanState,
 }
@@ -47,10 +47,11 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Removes and returns the next complete object, without the white space before it; `None` while more bytes are needed.
+    /// Removes and returns the next complete object, without the white space before it. Returns `None` while more bytes are
+    /// needed.
     ///
     /// # Errors
-    /// Where something other than an object begins, or the object is too long; no object can be read after that.
+    /// If something other than an object begins, or the object is too long. No object can be read after an error.
     pub(crate) fn next_object(&mut self) -> Result<Option<Vec<u8>>, JsonStreamError> {
         if self.depth == 0 {
             self.skip_white_space();
@@ -67,7 +68,7 @@
         Ok(None)
     }
 
-    /// Whether an object has begun and not ended.
+    /// Returns true if an object has begun and not ended.
     pub(crate) fn has_partial_object(&self) -> bool {
         self.depth > 0
     }
@@ -82,7 +83,7 @@
         self.scanned = 0;
     }
 
-    /// Follows one byte of the text; whether it ends the object.
+    /// Scans one byte. Returns true if it ends the object.
     fn is_object_end(&mut self, byte: u8) -> Result<bool, JsonStreamError> {
         match self.state {
             ScanState::Structure => return self.is_structure_end(byte),
@@ -96,7 +97,7 @@
         Ok(false)
     }
 
-    /// Follows one byte outside strings; whether it ends the object.
+    /// Scans one byte outside strings. Returns true if it ends the object.
     fn is_structure_end(&mut self, byte: u8) -> Result<bool, JsonStreamError> {
         if self.depth == 0 && byte != b'{' {
             return Err(JsonStreamError::UnexpectedCharacter(char::from(byte)));
--- a/crates/node/src/discovery/json_stream/tests.rs
+++ b/crates/node/src/discovery/json_stream/tests.rs
@@ -2,20 +2,20 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Everything that comes out of `text` in pieces of these lengths.
+/// Returns the objects found in `text` when it is received in pieces of these lengths.
 fn objects_in(text: &[u8], cuts: &[usize]) -> Result<Vec<String>, JsonStreamError> {
     let mut objects = JsonStream::default();
-    let mut out = Vec::new();
-    let mut at = 0;
+    let mut found = Vec::new();
+    let mut start = 0;
     for cut in cuts.iter().map(|cut| cut % 40).chain([text.len()]) {
-        let end = (at + cut).min(text.len());
-        objects.push(&text[at..end]);
-        at = end;
+        let end = (start + cut).min(text.len());
+        objects.push(&text[start..end]);
+        start = end;
         while let Some(object) = objects.next_object()? {
-            out.push(String::from_utf8(object).unwrap());
+            found.push(String::from_utf8(object).unwrap());
         }
     }
-    Ok(out)
+    Ok(found)
 }
 
 #[rstest]
@@ -29,7 +29,7 @@
         assert_eq!(
             objects_in(text.as_bytes(), &vec![piece; text.len()]).unwrap(),
             expected,
-            "by {piece}"
+            "in pieces of {piece} bytes"
         );
     }
 }
@@ -56,12 +56,12 @@
     assert_eq!(error, Some(JsonStreamError::ObjectTooLong));
     assert_eq!(
         JsonStreamError::ObjectTooLong.to_string(),
-        "an object is too long"
+        "JSON object is longer than 4 MiB"
     );
 }
 
 proptest! {
-    /// Lists in both layouts, with any text in them, cut anywhere, are read as they were written.
+    /// Lists of both layouts, with arbitrary text and split anywhere, are read as they were written.
     #[test]
     fn lists_are_read_as_they_were_written(
         lists in prop::collection::vec((any::<u64>(), prop::collection::vec(any::<String>(), 0..4), any::<bool>()), 0..5),
@@ -70,8 +70,8 @@
         let value = |(seq, hosts, _): &(u64, Vec<String>, bool)| serde_json::json!({"seq": seq, "hosts": hosts});
         let written = lists.iter().map(|list| if list.2 { serde_json::to_string_pretty(&value(list)).unwrap() } else { value(list).to_string() });
         let text = written.collect::<Vec<_>>().join("\n");
-        let out = objects_in(text.as_bytes(), &cuts).unwrap();
-        let read: Vec<serde_json::Value> = out.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
+        let found = objects_in(text.as_bytes(), &cuts).unwrap();
+        let read: Vec<serde_json::Value> = found.iter().map(|text| serde_json::from_str(text).unwrap()).collect();
         prop_assert_eq!(read, lists.iter().map(value).collect::<Vec<_>>());
     }
 }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The client of the discovery service: watches the endpoint list and applies its changes.
+//! The client of service discovery: watches the endpoint list and applies its changes.
 
 mod call;
 mod chunked;
--- a/crates/node/src/handoff/admin_drain_file.rs
+++ b/crates/node/src/handoff/admin_drain_file.rs
@@ -1,5 +1,5 @@
-//! The file of the servers that an operator has drained. Both processes of a node read and write it, and the next process
-//! of the node reads it at its start.
+//! The file that stores the admin drains. Both processes of a node read and write it, and each later process of the node
+//! reads it at startup.
 
 use lupincrank_placement::admin_drain::set_drained;
 use lupincrank_placement::ServerId;
@@ -10,15 +10,15 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The first word of the file and the version of its format; the checksum follows.
+/// Identifies the file type and the version of its format. The checksum follows.
 const HEADER: &str = "lupincrank-out 1 ";
-/// A longer file was not written by this program.
+/// Maximum length of the file. A longer one was not written by this program.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// How long the other process may hold the lock: a change takes microseconds, unless the process was stopped in its middle.
+/// Time to wait for the lock. The other process holds it for microseconds, unless it was stopped in the middle of a change.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(50);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Why the file of admin drains could not be read or written.
+/// The file of admin drains could not be read or written.
 #[derive(Debug, Error)]
 #[error("{}: {reason}", path.display())]
 pub(crate) struct AdminDrainFileError {
@@ -28,7 +28,7 @@
 }
 
 impl AdminDrainFileError {
-    /// Whether the file was read and does not hold what was written. A read that failed says nothing of that.
+    /// Returns true if the file was read and its contents are damaged. A failed read says nothing about the contents.
     fn is_damage(&self) -> bool {
         matches!(
             self.reason,
@@ -37,42 +37,42 @@
     }
 }
 
-/// What went wrong with the file.
+/// The reason of an [`AdminDrainFileError`].
 #[derive(Debug, Error)]
 enum FailureReason {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("it is too long")]
+    #[error("file is longer than 1 MiB")]
     TooLong,
     #[error(transparent)]
     Format(#[from] FormatError),
 }
 
-/// Why the file's text is not believed.
+/// The file's contents are invalid.
 #[derive(Debug, Error)]
 enum FormatError {
-    #[error("its head is not of this version")]
+    #[error("unknown header or version of the file")]
     Header,
-    #[error("it is cut short")]
+    #[error("file is truncated")]
     Truncated,
-    #[error("its checksum does not fit")]
+    #[error("checksum of the file does not match")]
     Checksum,
-    #[error("it is not text")]
+    #[error("file is not UTF-8")]
     Encoding,
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// What an operator wants of a server.
+/// A change of one server's admin drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainChange {
-    /// It gets no new connections, and its clients are sent away.
+    /// The server gets no new connections, and its clients are asked to reconnect elsewhere.
     Drain,
-    /// It is used again.
+    /// The server is used again.
     Release,
 }
 
-/// Applies the change to the set of drained servers; whether the set has changed.
+/// Applies the change to the set of drained servers. Returns true if the set has changed.
 pub(crate) fn apply_change(
     drained: &mut BTreeSet<ServerId>,
     server: &ServerId,
@@ -81,7 +81,7 @@
     set_drained(drained, server, change == DrainChange::Drain)
 }
 
-/// The text of the file: the header with a checksum, then the ids as JSON.
+/// Formats the text of the file: the header with a checksum, then the server ids as JSON.
 fn format(drained: &BTreeSet<ServerId>) -> Result<String, FormatError> {
     let ids: Vec<&str> = drained.iter().map(|server| &*server.0).collect();
     let body = serde_json::to_string(&ids)?;
@@ -89,7 +89,7 @@
     Ok(format!("{HEADER}{checksum}\n{body}\n"))
 }
 
-/// Reads the text back whole, or not at all.
+/// Parses the text of the file. Damaged text is rejected as a whole.
 fn parse(text: &str) -> Result<BTreeSet<ServerId>, FormatError> {
     let rest = text.strip_prefix(HEADER).ok_or(FormatError::Header)?;
     let (expected, body) = rest.split_once('\n').ok_or(FormatError::Truncated)?;
@@ -105,40 +105,40 @@
     format!("{:08x}", crc32fast::hash(body.as_bytes()))
 }
 
-/// The file of admin drains at a path; it need not exist.
+/// The file of admin drains. It need not exist.
 pub(crate) struct AdminDrainFile {
     path: PathBuf,
 }
 
 impl AdminDrainFile {
-    /// The file at `path`. Its lock and its next version are written beside it.
+    /// Creates a handle to the file at `path`. The lock file and a temporary file are created in the same directory.
     pub(crate) fn new(path: PathBuf) -> AdminDrainFile {
         AdminDrainFile { path }
     }
 
-    /// The drained servers; none if there is no file.
+    /// Reads the drained servers. The set is empty if there is no file.
     ///
     /// # Errors
-    /// Where the file can't be read or is damaged.
+    /// If the file can't be read or is damaged.
     pub(crate) fn read(&self) -> Result<BTreeSet<ServerId>, AdminDrainFileError> {
         self.read_contents().map_err(|reason| self.error(reason))
     }
 
-    /// Drains or releases one server, in the file too, and returns the drained servers. `known` is believed where the file
-    /// is damaged.
+    /// Drains or releases one server in the file, and returns the drained servers. `fallback` replaces the contents of a
+    /// damaged file.
     ///
     /// # Errors
-    /// Where the file can't be locked, read or written; nothing has changed then.
+    /// If the file can't be locked, read or written; the drained servers are unchanged in this case.
     pub(crate) fn update(
         &self,
         server: &ServerId,
         change: DrainChange,
-        known: &BTreeSet<ServerId>,
+        fallback: &BTreeSet<ServerId>,
     ) -> Result<BTreeSet<ServerId>, AdminDrainFileError> {
-        // Guards against the other process's change between this one's reading and writing.
+        // Without the lock, a change by the other process between the read and the write would be lost.
         let _lock = self.lock()?;
         let mut drained = match self.read() {
-            Err(error) if error.is_damage() => known.clone(),
+            Err(error) if error.is_damage() => fallback.clone(),
             read => read?,
         };
         if apply_change(&mut drained, server, change) {
@@ -147,10 +147,10 @@
         Ok(drained)
     }
 
-    /// Writes a file that was found damaged anew, unless the other process has done so by now.
+    /// Rewrites a damaged file, unless the other process has already done so.
     ///
     /// # Errors
-    /// Where the file can't be locked, read or written.
+    /// If the file can't be locked, read or written.
     pub(crate) fn repair(&self, drained: &BTreeSet<ServerId>) -> Result<(), AdminDrainFileError> {
         let _lock = self.lock()?;
         match self.read() {
@@ -171,14 +171,14 @@
         Ok(parse(text)?)
     }
 
-    /// Replaces the file in one step; it is on the disk when this returns. Only under the lock.
+    /// Replaces the file atomically and syncs it to disk. The caller must hold the lock.
     fn write(&self, drained: &BTreeSet<ServerId>) -> Result<(), AdminDrainFileError> {
-        let next_version = self.path.with_extension("out-new");
+        let temporary_path = self.path.with_extension("out-new");
         let replace = || -> Result<(), FailureReason> {
-            let mut file = File::create(&next_version)?;
+            let mut file = File::create(&temporary_path)?;
             file.write_all(format(drained)?.as_bytes())?;
             file.sync_all()?;
-            fs::rename(&next_version, &self.path)?;
+            fs::rename(&temporary_path, &self.path)?;
             if let Some(directory) = self.path.parent() {
                 File::open(directory)?.sync_all()?;
             }
--- a/crates/node/src/handoff/admin_drain_file/tests.rs
+++ b/crates/node/src/handoff/admin_drain_file/tests.rs
@@ -3,20 +3,23 @@
 
 #[test]
 fn a_damaged_file_is_rejected_as_a_whole() {
-    let out: BTreeSet<ServerId> = ["s-1", "s \"2\"\n"]
+    let drained: BTreeSet<ServerId> = ["s-1", "s \"2\"\n"]
         .into_iter()
         .map(ServerId::from)
         .collect();
-    let whole = format(&out).unwrap();
-    assert_eq!(parse(&whole).unwrap(), out);
-    for cut in 0..whole.len() {
-        assert!(parse(&whole[..cut]).is_err(), "cut at {cut}");
+    let text = format(&drained).unwrap();
+    assert_eq!(parse(&text).unwrap(), drained);
+    for length in 0..text.len() {
+        assert!(
+            parse(&text[..length]).is_err(),
+            "truncated to {length} bytes"
+        );
     }
-    for at in 0..whole.len() {
-        let mut bytes = whole.clone().into_bytes();
-        bytes[at] ^= 1;
+    for index in 0..text.len() {
+        let mut bytes = text.clone().into_bytes();
+        bytes[index] ^= 1;
         let damaged = String::from_utf8_lossy(&bytes);
-        assert!(parse(&damaged).is_err(), "damaged at {at}");
+        assert!(parse(&damaged).is_err(), "damaged at byte {index}");
     }
 }
 
@@ -38,15 +41,18 @@
         fs::write(&path, text).unwrap();
     }
     let drain_file = AdminDrainFile::new(path.clone());
-    let present = BTreeSet::from([ServerId::from("p")]);
-    let out = drain_file
-        .update(&"s".into(), DrainChange::Drain, &present)
+    let fallback = BTreeSet::from([ServerId::from("p")]);
+    let drained = drain_file
+        .update(&"s".into(), DrainChange::Drain, &fallback)
         .unwrap();
-    assert_eq!(drain_file.read().unwrap(), out);
-    assert_eq!(out.iter().map(|id| &*id.0).collect::<Vec<_>>(), expected);
+    assert_eq!(drain_file.read().unwrap(), drained);
+    assert_eq!(
+        drained.iter().map(|id| &*id.0).collect::<Vec<_>>(),
+        expected
+    );
     assert_eq!(
         drain_file
-            .update(&"s".into(), DrainChange::Release, &present)
+            .update(&"s".into(), DrainChange::Release, &fallback)
             .unwrap()
             .len(),
         expected.len() - 1
@@ -56,7 +62,7 @@
     }
 }
 
-/// The fixtures were written by revision c925b3d; both processes of a handoff read and write this file.
+/// The fixtures fix the format of the file, which two processes of different builds read and write during a handoff.
 #[rstest]
 #[case::no_server(&[], include_str!("../fixtures/no_admin_drains.out"))]
 #[case::two_servers(&["s-1", "s \"2\"\n"], include_str!("../fixtures/admin_drains.out"))]
--- a/crates/node/src/handoff/agent.rs
+++ b/crates/node/src/handoff/agent.rs
@@ -1,7 +1,7 @@
-//! The handoff's component in the event loop: receives from the other process and from successors, and fires the deadlines.
+//! The event loop component of the handoff: accepts successors, receives messages and handles deadlines.
 
 use super::incoming;
-use super::lifecycle::{lose_peer, open_if_ready, run_heartbeat, step_transfer};
+use super::lifecycle::{accept_clients_if_ready, on_peer_lost, run_heartbeat, step_transfer};
 use super::peer_process::{ConnectedPeer, PeerProcess};
 use super::socket::{HandoffSocket, PeerConnection};
 use super::transfer::MAX_IN_FLIGHT;
@@ -12,17 +12,18 @@
 use slog::info;
 use socket2::Socket;
 
-/// Messages that one turn of the event loop handles: clients are served meanwhile.
+/// Limit of messages handled per event loop iteration, so that clients are served in between.
 const MAX_MESSAGES_PER_TURN: usize = 2 * MAX_IN_FLIGHT;
 
-/// Accepts a successor, one at a time; a second one connects again once the first has gone.
+/// Accepts a successor, one at a time. A second successor has to connect again after the first has disconnected.
 fn accept_successor(context: &mut NodeContext) {
     let primary = context.handoff.primary.as_mut();
     let Some(listener) = primary.and_then(|primary| primary.listener.as_mut()) else {
         return;
     };
     let Ok(socket) = listener.accept() else {
-        // With no descriptor left it would be ready again and again: it pauses until the next heartbeat.
+        // Without a free descriptor, the listener would be reported ready over and over, so it pauses until the next
+        // heartbeat.
         let _ = listener.set_interest(Interest::NONE);
         return;
     };
@@ -48,12 +49,12 @@
         match peer.connection.receive() {
             Ok(Some(received)) => incoming::on_message(context, received),
             Ok(None) => return,
-            Err(error) => return lose_peer(context, &error.into()),
+            Err(error) => return on_peer_lost(context, &error.into()),
         }
     }
 }
 
-/// The handoff's component in the event loop; its state is [`NodeState::handoff`].
+/// The event loop component of the handoff. Its state is [`NodeState::handoff`].
 pub(crate) struct HandoffAgent;
 
 impl Connection<NodeState> for HandoffAgent {
@@ -81,7 +82,7 @@
 
     fn on_message(&mut self, context: &mut NodeContext, message: Message) -> Lifecycle {
         if let Message::Handoff(HandoffCommand::OpenListener) = message {
-            open_if_ready(context);
+            accept_clients_if_ready(context);
         }
         Lifecycle::Continue
     }
--- a/crates/node/src/handoff/incoming.rs
+++ b/crates/node/src/handoff/incoming.rs
@@ -1,8 +1,8 @@
-//! Handles the messages of the other process.
+//! Handles the messages from the other process.
 
 use super::lifecycle::{
-    lose_peer, reload_drained_servers, send_heartbeat, start_handover, start_next_transfers,
-    PeerLoss,
+    on_peer_lost, reload_drained_servers, send_heartbeat, start_handover, start_next_transfers,
+    PeerLossReason,
 };
 use super::message::{
     ConnectionTransfer, HandoffMessage, Heartbeat, UnidentifiedClientTransfer, PROTOCOL_VERSION,
@@ -21,7 +21,7 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// Handles one message of the other process.
+/// Handles one message from the other process.
 pub(super) fn on_message(context: &mut NodeContext, received: ReceivedMessage) {
     let ReceivedMessage {
         message,
@@ -48,7 +48,7 @@
 
 fn on_heartbeat(context: &mut NodeContext, heartbeat: Heartbeat) {
     if heartbeat.version != PROTOCOL_VERSION {
-        return lose_peer(context, &PeerLoss::VersionMismatch);
+        return on_peer_lost(context, &PeerLossReason::VersionMismatch);
     }
     let PeerProcess::Connected(peer) = &mut context.handoff.peer else {
         return;
@@ -58,9 +58,9 @@
     if heartbeat.accepts_clients != accepts_clients_before {
         send_heartbeat(context);
     }
-    // SIGTERM may have come before the successor could serve.
+    // SIGTERM may have been received before the successor was able to serve clients.
     let shuts_down = context.shutdown.is_some();
-    if shuts_down && !context.handoff.is_leaving && context.handoff.has_successor() {
+    if shuts_down && !context.handoff.has_started_handover && context.handoff.has_successor() {
         start_handover(context);
     }
 }
@@ -80,7 +80,7 @@
         return reject(context, number);
     };
     if accept(context, number) {
-        forget_peer_client(context);
+        decrement_peer_client_count(context);
         Relay::resume_transferred(context, connection, payload, sockets);
     }
 }
@@ -109,36 +109,38 @@
     }
 }
 
-/// The other process has one client less than it last reported.
-fn forget_peer_client(context: &mut NodeContext) {
+/// Subtracts a transferred client from the number of clients that the other process last reported.
+fn decrement_peer_client_count(context: &mut NodeContext) {
     if let PeerProcess::Connected(peer) = &mut context.handoff.peer {
         let client_count = peer.heartbeat.client_count;
         peer.heartbeat.client_count = client_count.saturating_sub(1);
     }
 }
 
-/// Tells the other process that an offered connection belongs to this one from now on; whether it does. It is told before
-/// anything is read or written: were this process to die now, the other knows whose the connection is. Where that can't be
-/// told, the connection to the other process is closed, which tells it to keep what it offered, unless it has died.
+/// Accepts an offered connection and returns true if this process owns it.
+///
+/// The answer is sent before anything is read from or written to the connection, so the owner is known to the other process
+/// even if this one fails right after. If the answer can't be sent, the connection between the two processes is closed:
+/// the other process then keeps the connections that it offered. If the other process has terminated, this one owns them.
 fn accept(context: &mut NodeContext, number: u64) -> bool {
-    if context.handoff.send(&HandoffMessage::Accepted(number)) || is_peer_dead(context) {
+    if context.handoff.send(&HandoffMessage::Accepted(number)) || has_peer_terminated(context) {
         return true;
     }
-    lose_peer(context, &PeerLoss::AnswerNotSent);
+    on_peer_lost(context, &PeerLossReason::AnswerNotSent);
     false
 }
 
-/// Tells the other process that an offered connection stays with it.
+/// Rejects an offered connection, which the other process keeps.
 fn reject(context: &mut NodeContext, number: u64) {
     if !context.handoff.send(&HandoffMessage::Rejected(number)) {
-        lose_peer(context, &PeerLoss::AnswerNotSent);
+        on_peer_lost(context, &PeerLossReason::AnswerNotSent);
     }
 }
 
-/// Whether the other process has died, so that what it has sent belongs to this one alone: its lock is free. A process that
-/// has only closed the connection would go on with what it sent. What else it sent is received before the end of the
-/// connection is noticed.
-fn is_peer_dead(context: &mut NodeContext) -> bool {
+/// Returns true if the other process has terminated, which releases its lock: this process is then the only owner of the
+/// connections that it has received. A process that has merely closed the connection to this one would continue to use the
+/// connections that it sent. Messages sent before the termination are received before the end of that connection is detected.
+fn has_peer_terminated(context: &mut NodeContext) -> bool {
     let search = context.application.handoff.find_peer(&context.poller);
     let has_lock = context.handoff.primary.is_some();
     if has_lock {
--- a/crates/node/src/handoff/inherited_listener.rs
+++ b/crates/node/src/handoff/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket where the platform opened it and every process of the node inherits it.
+//! The client listener that the platform has opened and all processes of the node inherit.
 #![allow(unsafe_code)]
 
 use socket2::Socket;
@@ -7,7 +7,7 @@
 use std::os::fd::FromRawFd;
 use thiserror::Error;
 
-/// Why an inherited descriptor can't be used.
+/// The inherited descriptor can't be used.
 #[derive(Debug, Error)]
 #[error("RELAY_INHERITED_FD: descriptor {descriptor} {problem}")]
 struct InheritedListenerError {
@@ -15,14 +15,14 @@
     problem: DescriptorProblem,
 }
 
-/// What is wrong with an inherited descriptor.
+/// The reason of an [`InheritedListenerError`].
 #[derive(Debug, Error)]
 enum DescriptorProblem {
     #[error("is not open")]
     NotOpen,
-    #[error("is no socket")]
+    #[error("is not a socket")]
     NotSocket,
-    #[error("does not listen")]
+    #[error("is not a listening stream socket")]
     NotListening,
     #[error("listens on {actual:?}, not on {expected}")]
     OtherAddress {
@@ -31,11 +31,11 @@
     },
 }
 
-/// Takes the descriptor over, if it is a listening socket at this address. The other processes hold the same socket: it
-/// is closed by nobody's end and must never be shut down.
+/// Takes ownership of the descriptor if it is a listening socket at this address. The other processes hold the same socket:
+/// it stays open when one of them terminates, and must never be shut down.
 ///
 /// # Errors
-/// `InvalidInput` where the descriptor is not such a socket, and what the system reports.
+/// `InvalidInput` if the descriptor is not such a socket, and any error of the operating system.
 pub(crate) fn inherited_listener(descriptor: i32, listen: SocketAddr) -> io::Result<TcpListener> {
     let invalid = |problem| {
         let error = InheritedListenerError {
@@ -49,8 +49,8 @@
     if !target.to_string_lossy().starts_with("socket:") {
         return Err(invalid(DescriptorProblem::NotSocket));
     }
-    // SAFETY: the descriptor is open, as was just checked, and named by whoever started the process for this one use;
-    // nothing else in the process takes it, as the node calls this once, before it opens connections.
+    // SAFETY: the check above has shown that the descriptor is open, and the platform passes it for this use only. Nothing
+    // else in the process owns it: the node calls this function once, before it opens connections.
     let socket = unsafe { Socket::from_raw_fd(descriptor) };
     if !socket.is_listener()? || socket.r#type()? != socket2::Type::STREAM {
         return Err(invalid(DescriptorProblem::NotListening));
--- a/crates/node/src/handoff/lifecycle.rs
+++ b/crates/node/src/handoff/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The steps of a handoff: heartbeats, the start of a handover, and the loss of the other process.
+//! The steps of a handoff: startup, heartbeats, the transfer of connections, and the loss of the other process.
 
 use super::message::{HandoffMessage, Heartbeat, PROTOCOL_VERSION};
 use super::peer_process::PeerProcess;
@@ -12,82 +12,81 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How often each process reports what it holds, reads the admin drains, and looks for another process.
+/// Interval at which a process sends heartbeats, reads the admin drains, and looks for another process.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the queue of a transfer is looked at, should nothing else happen.
+/// Interval at which queued transfers are started if no other event starts them.
 const TRANSFER_STEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why the other process is given up.
+/// The reason why the connection to the other process is closed.
 #[derive(Debug, Error)]
-pub(super) enum PeerLoss {
-    /// Its messages are of another version.
-    #[error("it speaks another protocol version")]
+pub(super) enum PeerLossReason {
+    /// The other process uses a different version of the messages.
+    #[error("peer process uses a different protocol version")]
     VersionMismatch,
-    /// A message was not understood.
+    /// A message is invalid.
     #[error(transparent)]
     InvalidMessage(io::Error),
     /// The answer to an offered connection could not be sent.
-    #[error("no answer can be sent")]
+    #[error("answer to an offered connection could not be sent")]
     AnswerNotSent,
-    /// The connection has ended or failed.
+    /// The connection was closed or has failed.
     #[error(transparent)]
     Disconnected(io::Error),
 }
 
-impl From<io::Error> for PeerLoss {
-    fn from(error: io::Error) -> PeerLoss {
+impl From<io::Error> for PeerLossReason {
+    fn from(error: io::Error) -> PeerLossReason {
         if error.kind() == io::ErrorKind::InvalidData {
-            PeerLoss::InvalidMessage(error)
+            PeerLossReason::InvalidMessage(error)
         } else {
-            PeerLoss::Disconnected(error)
+            PeerLossReason::Disconnected(error)
         }
     }
 }
 
-/// Looks for another process before anything is served.
-pub(crate) fn begin(context: &mut NodeContext) {
+/// Looks for another process before this one accepts clients.
+pub(crate) fn initialize(context: &mut NodeContext) {
     if context.handoff.files.is_some() {
         reload_drained_servers(context);
-        command_listener(context, ListenerCommand::Pause);
+        send_listener_command(context, ListenerCommand::Pause);
         run_heartbeat(context);
     }
 }
 
-/// Accepts clients from now on, if this is the older or the only process or can serve them as well as the other one.
-pub(crate) fn open_if_ready(context: &mut NodeContext) {
+/// Starts to accept clients if this is the older or the only process, or if it can serve them.
+pub(crate) fn accept_clients_if_ready(context: &mut NodeContext) {
     if context.handoff.files.is_none() || context.handoff.accepts_clients {
         return;
     }
     if context.handoff.primary.is_some() || context.check_serving().is_ok() {
         context.handoff.accepts_clients = true;
-        command_listener(context, ListenerCommand::Resume);
+        send_listener_command(context, ListenerCommand::Resume);
         send_heartbeat(context);
     }
 }
 
-/// Begins to transfer all connections of this process to its successor.
+/// Starts to transfer all connections of this process to its successor.
 pub(crate) fn start_handover(context: &mut NodeContext) {
-    context.handoff.is_leaving = true;
+    context.handoff.has_started_handover = true;
     context.transfer_requested = true;
-    command_listener(context, ListenerCommand::Pause);
+    send_listener_command(context, ListenerCommand::Pause);
     send_heartbeat(context);
     send_learned_state(context);
     set_deadline(context, HandoffDeadline::TransferStep, Duration::ZERO);
 }
 
-/// Reads the admin drains from their file. A file that was damaged meanwhile is written anew by a process that knows what
-/// it held.
+/// Reads the admin drains from their file. If the file has been damaged, a process that has read it before rewrites it.
 pub(super) fn reload_drained_servers(context: &mut NodeContext) {
     let Some(file) = context.handoff.admin_drain_file() else {
         return;
     };
     match file.read() {
         Ok(drained) => {
-            context.handoff.startup.knows_drained_servers = true;
+            context.handoff.startup.has_read_admin_drains = true;
             context.placement.set_drained_servers(drained);
         }
         Err(error) => {
-            let is_repaired = context.handoff.startup.knows_drained_servers
+            let is_repaired = context.handoff.startup.has_read_admin_drains
                 && file.repair(context.placement.drained_servers()).is_ok();
             warn!(context.log, "admin drain file unreadable"; "error" => %error, "repaired" => is_repaired);
             if is_repaired {
@@ -97,10 +96,9 @@
     }
 }
 
-/// Reports to the other process what this one holds, and divides the node's budgets between both while both accept
-/// clients.
+/// Sends a heartbeat to the other process, and divides the node's budgets between the two while both accept clients.
 pub(super) fn send_heartbeat(context: &mut NodeContext) {
-    let accepts_clients = context.handoff.accepts_clients && !context.handoff.is_leaving;
+    let accepts_clients = context.handoff.accepts_clients && !context.handoff.has_started_handover;
     let heartbeat = Heartbeat {
         version: PROTOCOL_VERSION,
         client_count: context.client_count.get(),
@@ -116,7 +114,7 @@
     placement.set_process_count(config, process_count);
 }
 
-/// Asks the next connections of the queue to transfer, and again later, for as long as the handover lasts.
+/// Starts the next queued transfers, and repeats this until the handover has ended.
 pub(super) fn step_transfer(context: &mut NodeContext) {
     if context.handoff.is_handing_over() {
         start_next_transfers(context);
@@ -128,36 +126,38 @@
     }
 }
 
-/// Asks the next connections of the queue to transfer.
+/// Starts the transfers of the next queued connections.
 pub(super) fn start_next_transfers(context: &mut NodeContext) {
     for id in context.handoff.transfers.next_batch() {
         context.send(id, TransferCommand::Start);
     }
 }
 
-/// The other process is gone or is not understood: connections that it has not accepted stay here.
-pub(super) fn lose_peer(context: &mut NodeContext, loss: &PeerLoss) {
+/// Handles the loss of the other process. This process keeps the connections that the other one has not accepted.
+pub(super) fn on_peer_lost(context: &mut NodeContext, reason: &PeerLossReason) {
     let accepted_count = context.handoff.transfers.accepted_count();
-    info!(context.log, "peer process lost"; "reason" => %loss, "transferred" => accepted_count);
-    context.handoff.peer = match loss {
-        PeerLoss::VersionMismatch | PeerLoss::InvalidMessage(_) => PeerProcess::Incompatible,
-        PeerLoss::AnswerNotSent | PeerLoss::Disconnected(_) => PeerProcess::Absent,
+    info!(context.log, "peer process lost"; "reason" => %reason, "transferred" => accepted_count);
+    context.handoff.peer = match reason {
+        PeerLossReason::VersionMismatch | PeerLossReason::InvalidMessage(_) => {
+            PeerProcess::Incompatible
+        }
+        PeerLossReason::AnswerNotSent | PeerLossReason::Disconnected(_) => PeerProcess::Absent,
     };
     for id in context.handoff.transfers.cancel() {
         context.send(id, TransferCommand::Cancelled);
     }
-    if context.handoff.is_leaving {
-        // There is no other process to accept clients.
-        context.handoff.is_leaving = false;
-        command_listener(context, ListenerCommand::Resume);
+    if context.handoff.has_started_handover {
+        // No other process accepts clients.
+        context.handoff.has_started_handover = false;
+        send_listener_command(context, ListenerCommand::Resume);
     }
-    // What it wrote last may not have been read.
+    // The other process may have changed the file after this one last read it.
     reload_drained_servers(context);
     send_heartbeat(context);
     run_heartbeat(context);
 }
 
-/// Sends a heartbeat if another process is connected, looks for one if none is, and sets the next heartbeat.
+/// Looks for another process, sends a heartbeat if one is connected, and schedules the next run.
 pub(super) fn run_heartbeat(context: &mut NodeContext) {
     find_peer(context);
     resume_listener(context);
@@ -165,7 +165,7 @@
         reload_drained_servers(context);
         send_heartbeat(context);
     }
-    open_if_ready(context);
+    accept_clients_if_ready(context);
     set_deadline(context, HandoffDeadline::Heartbeat, HEARTBEAT_INTERVAL);
 }
 
@@ -179,7 +179,7 @@
     }
 }
 
-/// The listener pauses when no descriptor is left for a successor.
+/// Resumes the handoff listener, which pauses when no descriptor is free for a successor.
 fn resume_listener(context: &mut NodeContext) {
     let primary = context.application.handoff.primary.as_mut();
     let Some(listener) = primary.and_then(|primary| primary.listener.as_mut()) else {
@@ -199,7 +199,7 @@
     }
 }
 
-fn command_listener(context: &mut NodeContext, command: ListenerCommand) {
+fn send_listener_command(context: &mut NodeContext, command: ListenerCommand) {
     context.send(WellKnownComponent::ClientListener.id(), command);
 }
 
--- a/crates/node/src/handoff/message.rs
+++ b/crates/node/src/handoff/message.rs
@@ -1,47 +1,48 @@
-//! The messages between two processes of one node, as JSON. Names in the JSON are those of the first version and stay.
+//! The messages between two processes of one node, encoded as JSON. The two processes may run different builds, so the JSON
+//! names must not change.
 
 use lupincrank_placement::learned_state::LearnedServer;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The version of the messages; a process with another one is not understood.
+/// The version of the messages. Two processes with different versions exchange no connections.
 pub(crate) const PROTOCOL_VERSION: u32 = 3;
 
-/// One message from one process of a node to the other.
+/// A message from one process of a node to the other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum HandoffMessage {
-    /// Each process's first message, then sent every 100 ms.
+    /// The first message of each process, repeated every 100 ms.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
-    /// An operator has drained or released a server: the file of admin drains has changed.
+    /// A server was drained or released, so the file of admin drains has changed.
     #[serde(rename = "Out")]
     AdminDrainChanged,
-    /// What the sender has learned of servers, ahead of its connections.
+    /// The state that the sender has learned about servers. It is sent before the connections.
     #[serde(rename = "Learnt")]
     LearnedState(Vec<LearnedServerRecord>),
-    /// A connection with both of its sockets, the client's first. Its buffered bytes follow the message.
+    /// A connection with both of its sockets, the client's socket first. Its buffered bytes follow the message.
     #[serde(rename = "Standing")]
     Connection(ConnectionTransfer),
-    /// A client whose first line is incomplete, with its socket. The bytes of that line follow the message.
+    /// A client whose first line is incomplete, with its socket. The received bytes of the line follow the message.
     #[serde(rename = "First")]
     UnidentifiedClient(UnidentifiedClientTransfer),
-    /// The connection of this number belongs to the sender of this message from now on.
+    /// The sender of this message has accepted the connection with this number and owns it.
     #[serde(rename = "Took")]
     Accepted(u64),
-    /// The connection of this number stays with the process that offered it.
+    /// The connection with this number was rejected; the process that offered it still owns it.
     #[serde(rename = "Refused")]
     Rejected(u64),
 }
 
-/// What a process holds and does.
+/// The state that a process reports periodically.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Heartbeat {
-    /// See [`PROTOCOL_VERSION`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub(crate) version: u32,
-    /// Clients with a request.
+    /// Number of clients with a request.
     #[serde(rename = "clients")]
     pub(crate) client_count: usize,
-    /// Clients that have asked for nothing yet or have their answer.
+    /// Number of clients that have not sent a request or have received their answer.
     #[serde(rename = "strangers")]
     pub(crate) unidentified_count: usize,
     /// The process accepts clients.
@@ -49,16 +50,15 @@
     pub(crate) accepts_clients: bool,
 }
 
-/// A connection offered under a number. In JSON it is an array of both.
+/// An offered connection and its number, encoded as a JSON array of number and connection.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(
     from = "(u64, TransferredConnection)",
     into = "(u64, TransferredConnection)"
 )]
 pub(crate) struct ConnectionTransfer {
-    /// The number that the answer names.
+    /// The number that the answer refers to.
     pub(crate) number: u64,
-    /// The connection.
     pub(crate) connection: TransferredConnection,
 }
 
@@ -74,13 +74,13 @@
     }
 }
 
-/// A client whose first line is incomplete, offered under a number. In JSON it is an array of both numbers.
+/// An offered client whose first line is incomplete, encoded as a JSON array of the two fields.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub(crate) struct UnidentifiedClientTransfer {
-    /// The number that the answer names.
+    /// The number that the answer refers to.
     pub(crate) number: u64,
-    /// Milliseconds in which the first line has to be complete.
+    /// Time left for the client to complete its first line, in milliseconds.
     pub(crate) remaining_ms: u64,
 }
 
@@ -102,7 +102,7 @@
 /// An established connection between a client and its server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct TransferredConnection {
-    /// The request's id.
+    /// The id of the request.
     pub(crate) request: u64,
     /// The name of the request's class.
     pub(crate) class: String,
@@ -110,33 +110,33 @@
     pub(crate) group: Option<String>,
     /// The request's key.
     pub(crate) key: Option<String>,
-    /// Whether the client had connected anew after a broken connection or a migration.
+    /// Whether the client had reconnected after a broken connection or a migration.
     #[serde(rename = "returned")]
     pub(crate) is_reconnect: bool,
     /// The server's id.
     pub(crate) server: String,
-    /// The load last reported for the connection, in microseconds of work a second.
+    /// The load last reported for the connection, in microseconds of work per second.
     pub(crate) load_us: Option<u64>,
-    /// For each line of the client without an answer: how long ago it was sent on.
+    /// The time since each unanswered line of the client was relayed to the server, in milliseconds.
     pub(crate) unanswered_ms: Vec<u64>,
-    /// How the bytes that follow the message are divided.
+    /// The lengths of the buffers in the bytes that follow the message.
     pub(crate) lengths: BufferLengths,
 }
 
-/// The lengths of a connection's buffers, whose bytes follow the message in this order. In JSON it is an array.
+/// The lengths of a connection's buffers, whose bytes follow the message in this order. Encoded as a JSON array.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(from = "[usize; 3]", into = "[usize; 3]")]
 pub(crate) struct BufferLengths {
-    /// Bytes that wait for the server.
+    /// Bytes to be sent to the server.
     pub(crate) to_server: usize,
-    /// Bytes that wait for the client.
+    /// Bytes to be sent to the client.
     pub(crate) to_client: usize,
-    /// The start of a line of the server.
+    /// The start of an incomplete line from the server.
     pub(crate) partial_line: usize,
 }
 
 impl BufferLengths {
-    /// The length of all buffers together; `None` where it is not a number of this machine.
+    /// Returns the total length of the buffers, or `None` if it overflows.
     pub(crate) fn total(self) -> Option<usize> {
         self.to_server
             .checked_add(self.to_client)?
@@ -160,7 +160,7 @@
     }
 }
 
-/// What was learned of one server: see [`LearnedServer`]. Spans are milliseconds.
+/// The learned state of one server: see [`LearnedServer`]. Durations are in milliseconds.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct LearnedServerRecord {
     server: String,
--- a/crates/node/src/handoff/mod.rs
+++ b/crates/node/src/handoff/mod.rs
@@ -1,6 +1,6 @@
-//! The handoff between two processes of one node: which other process runs, the servers that an operator has drained, and
-//! the connections that the older process transfers to its successor. Without a listener that the platform opened there is
-//! one process only, and no file, lock or socket is made.
+//! The handoff between two processes of one node: detects the other process, shares the admin drains, and transfers the
+//! connections of the older process to its successor. A node whose client listener is not inherited has a single process
+//! and creates no file, lock or socket.
 
 pub(crate) mod admin_drain_file;
 mod agent;
@@ -15,4 +15,4 @@
 
 pub(crate) use agent::HandoffAgent;
 pub(crate) use inherited_listener::inherited_listener;
-pub(crate) use lifecycle::{begin, open_if_ready, start_handover};
+pub(crate) use lifecycle::{accept_clients_if_ready, initialize, start_handover};
--- a/crates/node/src/handoff/peer_process.rs
+++ b/crates/node/src/handoff/peer_process.rs
@@ -1,4 +1,4 @@
-//! What this process knows of the other process of its node, and what it may do for that reason.
+//! The state of the handoff: the other process of the node, as far as it is known, and the role of this process.
 
 use super::admin_drain_file::{apply_change, AdminDrainFile, AdminDrainFileError, DrainChange};
 use super::message::{HandoffMessage, Heartbeat};
@@ -16,23 +16,23 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A process that can't be reached for this long after the start is not waited for: readiness is due 6 s after the start.
+/// Time after startup for which this process waits to reach the other one. Readiness is due 6 s after startup.
 const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The other process of this node.
 pub(super) enum PeerProcess {
-    /// None is connected.
+    /// No other process is connected.
     Absent,
-    /// It is connected.
+    /// The other process is connected.
     Connected(ConnectedPeer),
-    /// It speaks another version of the messages: there is no use in connecting again.
+    /// The other process uses a different version of the messages, so connecting again would fail as well.
     Incompatible,
 }
 
-/// The other process, connected.
+/// The other process, while it is connected.
 pub(super) struct ConnectedPeer {
     pub(super) connection: PeerConnection,
-    /// What it holds and does, as it last reported.
+    /// The last heartbeat received from it.
     pub(super) heartbeat: Heartbeat,
 }
 
@@ -45,41 +45,42 @@
     }
 }
 
-/// What only the older or the only process of a node holds.
+/// The resources that only the older process, or the only process, of a node holds.
 pub(super) struct PrimaryRole {
-    /// Released by the system when this process ends, however it ends.
+    /// The operating system releases this lock when the process terminates, also if it is killed.
     _lock: File,
-    /// Where a successor connects; `None` where that socket could not be opened.
+    /// The socket to which a successor connects; `None` if the socket could not be opened.
     pub(super) listener: Option<HandoffListener>,
 }
 
-/// What has to be known before this process is ready.
+/// Progress of the steps that precede this process's readiness.
 pub(super) struct Startup {
     pub(super) started_at: Instant,
-    /// This process has found out whether another one runs.
+    /// The search for another process has succeeded, whether or not there is one.
     pub(super) has_searched_peer: bool,
-    /// The file of admin drains was read: the drains that this process holds are right.
-    pub(super) knows_drained_servers: bool,
+    /// The file of admin drains was read at least once, so this process has the stored drains.
+    pub(super) has_read_admin_drains: bool,
 }
 
 /// The handoff between this process and the other process of its node.
 pub(crate) struct HandoffState {
-    /// The files that both processes share; `None` where no second process may start.
+    /// The files that both processes share; `None` if no second process may start.
     pub(super) files: Option<RuntimeFiles>,
     pub(super) primary: Option<PrimaryRole>,
-    /// Held by the one process that may take the primary's place.
+    /// Held by the one process that may become the next primary.
     next_lock: Option<File>,
     pub(super) peer: PeerProcess,
     pub(super) startup: Startup,
-    /// Clients are accepted: a newer process leaves them to the older one until it can serve them.
+    /// This process accepts clients. A newer process leaves them to the older one until it can serve them.
     pub(super) accepts_clients: bool,
     /// This process is transferring its connections to its successor.
-    pub(super) is_leaving: bool,
+    pub(super) has_started_handover: bool,
     pub(super) transfers: TransferQueue,
 }
 
 impl HandoffState {
-    /// No other process is known yet. A second process may start only where the clients' listener is inherited.
+    /// Creates the state without a known other process. A second process may start only if the client listener is
+    /// inherited.
     pub(crate) fn new(listen: SocketAddr, inherited_listener: Option<i32>) -> HandoffState {
         HandoffState {
             files: inherited_listener.map(|_| RuntimeFiles::new(listen)),
@@ -89,39 +90,39 @@
             startup: Startup {
                 started_at: Instant::now(),
                 has_searched_peer: false,
-                knows_drained_servers: false,
+                has_read_admin_drains: false,
             },
             accepts_clients: false,
-            is_leaving: false,
+            has_started_handover: false,
             transfers: TransferQueue::default(),
         }
     }
 
-    /// Whether this process need not wait for the one before it: that one is known to have ended, or it is connected and
-    /// its file of admin drains was read, or it was waited for long enough.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Returns true if this process need not wait for a predecessor: none is running, or it was found and the admin drains
+    /// were read, or [`PEER_DISCOVERY_TIMEOUT`] has passed.
+    pub(crate) fn is_startup_complete(&self) -> bool {
         let is_known = self.startup.has_searched_peer
-            && (self.startup.knows_drained_servers || self.primary.is_some());
+            && (self.startup.has_read_admin_drains || self.primary.is_some());
         let waited = self.startup.started_at.elapsed();
         self.files.is_none() || is_known || waited > PEER_DISCOVERY_TIMEOUT
     }
 
-    /// Whether connections are being transferred to a successor.
+    /// Returns true while connections are being transferred to a successor.
     pub(crate) fn is_handing_over(&self) -> bool {
-        self.is_leaving && self.is_peer_connected()
+        self.has_started_handover && self.is_peer_connected()
     }
 
-    /// Whether no connection is in flight to the other process.
+    /// Returns true if no connection is in flight to the other process.
     pub(crate) fn is_idle(&self) -> bool {
         self.transfers.is_idle()
     }
 
-    /// Whether a process that shuts down may transfer its connections: the other one can serve them.
+    /// Returns true if a successor is connected that can serve the connections of this process when it shuts down.
     pub(crate) fn has_successor(&self) -> bool {
         self.primary.is_some() && self.peer_heartbeat().accepts_clients
     }
 
-    /// What the other process holds and does, as it last reported; nothing where none is connected.
+    /// The last heartbeat of the other process; the default heartbeat if no other process is connected.
     pub(crate) fn peer_heartbeat(&self) -> Heartbeat {
         match &self.peer {
             PeerProcess::Connected(peer) => peer.heartbeat,
@@ -129,16 +130,17 @@
         }
     }
 
-    /// Queues connections for the transfer.
+    /// Queues connections for transfer.
     pub(crate) fn enqueue(&mut self, ids: impl IntoIterator<Item = ComponentId>) {
         self.transfers.enqueue(ids);
     }
 
-    /// Offers a connection to the other process, in the message that `message` makes of its number. The connection's
-    /// component leaves it untouched until the answer; where there is no space now, it is asked to transfer again.
+    /// Offers a connection to the other process, in the message that `message` creates from the connection's number. The
+    /// connection's component must not use the connection until the answer. If the socket buffer is full, the connection
+    /// returns to the queue and its component will be asked again to transfer it.
     ///
     /// # Errors
-    /// Where no other process is connected or it can't be sent to.
+    /// If no other process is connected or the message can't be sent.
     pub(crate) fn transfer(
         &mut self,
         id: ComponentId,
@@ -155,10 +157,10 @@
         Ok(outcome)
     }
 
-    /// Drains or releases a server, in the file too where there is one, and returns the drained servers.
+    /// Drains or releases a server, also in the file if there is one, and returns the drained servers.
     ///
     /// # Errors
-    /// Where the file can't be written; nothing has changed then.
+    /// If the file can't be read or written; the drained servers are unchanged in this case.
     pub(crate) fn change_drained_servers(
         &self,
         server: &ServerId,
@@ -173,12 +175,12 @@
         Ok(drained)
     }
 
-    /// Tells the other process, if one is connected, that the admin drains have changed.
+    /// Notifies the other process, if one is connected, of a change of the admin drains.
     pub(crate) fn announce_drained_servers(&self) {
         self.send(&HandoffMessage::AdminDrainChanged);
     }
 
-    /// Sends a message without descriptors; whether it was sent.
+    /// Sends a message without descriptors. Returns true if it was sent.
     pub(super) fn send(&self, message: &HandoffMessage) -> bool {
         let PeerProcess::Connected(peer) = &self.peer else {
             return false;
@@ -197,8 +199,8 @@
         matches!(self.peer, PeerProcess::Connected(_))
     }
 
-    /// Finds out which other process runs: takes the lock and listens for a successor, or connects to the process that
-    /// has the lock.
+    /// Looks for another process: acquires the lock and listens for a successor, or connects to the process that holds
+    /// the lock.
     pub(super) fn find_peer(&mut self, poller: &Rc<Poller>) -> io::Result<()> {
         if self.primary.is_some() {
             return Ok(());
@@ -233,7 +235,7 @@
         });
         self.next_lock = None;
         let socket_path = files.socket_path();
-        // A process that was killed leaves its socket behind.
+        // A killed process does not remove its socket file.
         let _ = fs::remove_file(&socket_path);
         primary.listener = Some(HandoffListener::bind(poller, &socket_path)?);
         Ok(())
--- a/crates/node/src/handoff/runtime_files.rs
+++ b/crates/node/src/handoff/runtime_files.rs
@@ -6,18 +6,18 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Replaced in turn by each file's own extension. The name before it holds dots, and what follows the last of them must
-/// not be taken for an extension.
+/// Extension that is replaced by that of each file. The file name contains the dots of an IP address; without this
+/// extension, `with_extension` would replace the text after the last dot of the address.
 const PLACEHOLDER_EXTENSION: &str = "node";
 
-/// The paths of the shared files, named after the address where clients connect.
+/// The paths of the shared files, which are named after the client address.
 #[derive(Clone, Debug)]
 pub(crate) struct RuntimeFiles {
     runtime_path: PathBuf,
 }
 
 impl RuntimeFiles {
-    /// The files of the node whose clients connect to `listen`, in the directory for temporary files.
+    /// Returns the paths for the node that listens for clients on `listen`, in the directory for temporary files.
     pub(crate) fn new(listen: SocketAddr) -> RuntimeFiles {
         let name = format!("lupincrank-{listen}").replace([':', '[', ']'], "-");
         let file_name = format!("{name}.{PLACEHOLDER_EXTENSION}");
@@ -26,30 +26,31 @@
         }
     }
 
-    /// Where a successor connects.
+    /// The path of the socket to which a successor connects.
     pub(crate) fn socket_path(&self) -> PathBuf {
         self.runtime_path.with_extension("socket")
     }
 
-    /// The file of the servers that an operator has drained.
+    /// The file that stores the admin drains.
     pub(crate) fn admin_drain_file(&self) -> AdminDrainFile {
         AdminDrainFile::new(self.runtime_path.with_extension("out"))
     }
 
-    /// Takes the lock that the older process holds until it ends; `None` while another process has it.
+    /// Acquires the lock that the older process holds until it terminates. Returns `None` if another process holds it.
     ///
     /// # Errors
-    /// Where the file can't be opened or locked.
+    /// If the file can't be opened or locked.
     pub(crate) fn try_lock(&self) -> io::Result<Option<File>> {
         self.try_lock_file("lock")
     }
 
-    /// Takes the lock of the process that is next to become the older one; `None` while another process has it. A killed
-    /// process holds [`RuntimeFiles::try_lock`] until it is gone: only one process may wait for that, or the later one of
-    /// two could take it first.
+    /// Acquires the lock of the process that is next to become the older one. Returns `None` if another process holds it.
+    ///
+    /// A killed process holds the lock of [`RuntimeFiles::try_lock`] until it has terminated. Only one process may wait for
+    /// that lock: of two waiting processes, the one that started later could acquire it first.
     ///
     /// # Errors
-    /// Where the file can't be opened or locked.
+    /// If the file can't be opened or locked.
     pub(crate) fn try_next_lock(&self) -> io::Result<Option<File>> {
         self.try_lock_file("next")
     }
--- a/crates/node/src/handoff/socket.rs
+++ b/crates/node/src/handoff/socket.rs
@@ -1,4 +1,4 @@
-//! The sockets between two processes of one node: one message a packet, with the bytes and descriptors that belong to it.
+//! The sockets between two processes of one node. Each packet carries one message, followed by its payload, and descriptors.
 
 use super::message::HandoffMessage;
 use crate::component::WellKnownComponent;
@@ -17,24 +17,24 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The longest packet: both directions of a connection full, and the message.
+/// Maximum length of a packet: a message and the full buffers of both directions of a connection.
 const MAX_PACKET_BYTES: usize = 256 << 10;
-/// Descriptors that one packet carries at most.
+/// Maximum number of descriptors in one packet.
 const MAX_DESCRIPTORS: usize = 2;
-/// Successors whose connection waits to be accepted.
+/// Maximum number of successors whose connections wait to be accepted.
 const LISTEN_BACKLOG: i32 = 4;
 
-/// The sockets of the handoff, as the event loop numbers them.
+/// The sockets of the handoff, with their indices in the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HandoffSocket {
-    /// Where a successor connects.
+    /// The listener to which a successor connects.
     Listener = 0,
     /// The connection to the other process.
     PeerConnection = 1,
 }
 
 impl HandoffSocket {
-    /// The socket of the event loop's number.
+    /// Returns the socket with this index in the event loop.
     pub(crate) fn from_index(index: usize) -> HandoffSocket {
         if index == HandoffSocket::Listener as usize {
             HandoffSocket::Listener
@@ -49,16 +49,16 @@
     }
 }
 
-/// Whether a message was sent.
+/// The result of sending a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendOutcome {
-    /// It was.
+    /// The message was sent.
     Sent,
-    /// The socket's buffer has no space for it now.
+    /// The message was not sent: the socket buffer has no space for it.
     WouldBlock,
 }
 
-/// The socket where a successor connects.
+/// The socket to which a successor connects.
 pub(crate) struct HandoffListener {
     socket: Registered<Socket>,
 }
@@ -67,7 +67,7 @@
     /// Listens at this path.
     ///
     /// # Errors
-    /// Where the path is in use or the socket can't be opened.
+    /// If the path is in use or the socket can't be opened.
     pub(crate) fn bind(poller: &Rc<Poller>, path: &Path) -> io::Result<HandoffListener> {
         let socket = packet_socket()?;
         socket.bind(&SockAddr::unix(path)?)?;
@@ -79,7 +79,7 @@
     /// Accepts the next successor.
     ///
     /// # Errors
-    /// Where none waits or no descriptor is left.
+    /// If no successor waits or no descriptor is free.
     pub(crate) fn accept(&self) -> io::Result<Socket> {
         let (socket, _) = self.socket.accept()?;
         Ok(socket)
@@ -88,19 +88,18 @@
     /// Sets whether a waiting successor wakes the event loop.
     ///
     /// # Errors
-    /// Where the poller refuses.
+    /// If the poller reports an error.
     pub(crate) fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
         self.socket.set_interest(interest)
     }
 }
 
-/// A message that was received.
+/// A received message.
 pub(crate) struct ReceivedMessage {
-    /// The message.
     pub(crate) message: HandoffMessage,
-    /// The bytes that followed it.
+    /// The bytes that follow the message in its packet.
     pub(crate) payload: Vec<u8>,
-    /// The descriptors that came with it.
+    /// The descriptors of the packet.
     pub(crate) descriptors: Vec<OwnedFd>,
 }
 
@@ -113,17 +112,17 @@
     /// Connects to the process that listens at this path.
     ///
     /// # Errors
-    /// Where no process listens there.
+    /// If no process listens there.
     pub(crate) fn connect(poller: &Rc<Poller>, path: &Path) -> io::Result<PeerConnection> {
         let socket = packet_socket()?;
         socket.connect(&SockAddr::unix(path)?)?;
         PeerConnection::register(poller, socket)
     }
 
-    /// Takes over a connection that was accepted.
+    /// Wraps an accepted connection.
     ///
     /// # Errors
-    /// Where the socket can't be set up.
+    /// If the socket can't be set up.
     pub(crate) fn from_accepted(poller: &Rc<Poller>, socket: Socket) -> io::Result<PeerConnection> {
         socket.set_nonblocking(true)?;
         PeerConnection::register(poller, socket)
@@ -134,10 +133,10 @@
         Ok(PeerConnection { socket })
     }
 
-    /// Sends one message, with the bytes and descriptors that belong to it.
+    /// Sends one message with its payload and descriptors.
     ///
     /// # Errors
-    /// Where the other process has closed the connection.
+    /// If there are too many descriptors, or the other process has closed the connection.
     pub(crate) fn send(
         &self,
         message: &HandoffMessage,
@@ -150,7 +149,9 @@
         let mut ancillary = SendAncillaryBuffer::new(&mut space);
         if !descriptors.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(descriptors))
         {
-            return Err(io::Error::other("too many descriptors"));
+            return Err(io::Error::other(
+                "too many descriptors for a handoff message",
+            ));
         }
         let parts = [IoSlice::new(&line), IoSlice::new(payload)];
         let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
@@ -161,11 +162,11 @@
         }
     }
 
-    /// Receives one message; `None` if there is none now.
+    /// Receives one message. Returns `None` if none has arrived.
     ///
     /// # Errors
-    /// `UnexpectedEof` at the end of the connection, `InvalidData` for a packet that is not understood, and what the
-    /// system reports.
+    /// `UnexpectedEof` at the end of the connection, `InvalidData` for an invalid packet, and any error of the operating
+    /// system.
     pub(crate) fn receive(&self) -> io::Result<Option<ReceivedMessage>> {
         let mut bytes = vec![0; MAX_PACKET_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
@@ -184,7 +185,9 @@
         }
         let truncated = ReturnFlags::TRUNC | ReturnFlags::CTRUNC;
         if packet.flags.intersects(truncated) {
-            return Err(invalid_data("a message was too long"));
+            return Err(invalid_data(
+                "handoff message truncated: too many bytes or descriptors",
+            ));
         }
         let descriptors = received_descriptors(&mut ancillary);
         bytes.truncate(packet.bytes);
@@ -203,7 +206,7 @@
         .collect()
 }
 
-/// Divides a packet into the message, which ends with its line, and what follows it.
+/// Splits a packet into the message, which is its first line, and the payload.
 fn parse_packet(mut bytes: Vec<u8>, descriptors: Vec<OwnedFd>) -> io::Result<ReceivedMessage> {
     let line_end = bytes
         .iter()
@@ -222,7 +225,7 @@
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// A Unix socket for packets that is not bound yet.
+/// Creates a non-blocking Unix socket that preserves message boundaries.
 fn packet_socket() -> io::Result<Socket> {
     let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None)?;
     socket.set_nonblocking(true)?;
--- a/crates/node/src/handoff/socket/tests.rs
+++ b/crates/node/src/handoff/socket/tests.rs
@@ -8,7 +8,7 @@
 use std::io::{Read, Write};
 use std::time::Duration;
 
-/// A connection between two processes, and its other end as a plain socket.
+/// Returns one end of a connection as a [`PeerConnection`], and the other end as a plain socket.
 fn connection_pair() -> (PeerConnection, Socket) {
     let (near, far) = Socket::pair(Domain::UNIX, Type::SEQPACKET, None).unwrap();
     let poller = Rc::new(Poller::new().unwrap());
@@ -35,7 +35,7 @@
         consecutive_failures: 3,
         restart_suspected: true,
     };
-    let sound = LearnedServer {
+    let healthy = LearnedServer {
         server: "s \"2\"".into(),
         started_ago: None,
         concurrency_limit: None,
@@ -45,7 +45,7 @@
         consecutive_failures: 0,
         restart_suspected: false,
     };
-    HandoffMessage::LearnedState(vec![ejected.into(), sound.into()])
+    HandoffMessage::LearnedState(vec![ejected.into(), healthy.into()])
 }
 
 fn connection() -> HandoffMessage {
@@ -95,7 +95,7 @@
     })
 }
 
-/// The fixtures were written by revision c925b3d; both builds of a handoff must agree on them.
+/// The fixtures fix the format of the messages, which two processes of different builds exchange during a handoff.
 #[rstest]
 #[case::heartbeat(heartbeat(), "", include_bytes!("../fixtures/heartbeat.bin"))]
 #[case::admin_drain_changed(HandoffMessage::AdminDrainChanged, "", include_bytes!("../fixtures/admin_drain_changed.bin"))]
--- a/crates/node/src/handoff/transfer.rs
+++ b/crates/node/src/handoff/transfer.rs
@@ -1,24 +1,24 @@
-//! Which process owns each connection while one process of a node transfers its connections to the other. No I/O: what was
-//! sent and how it was answered goes in, and the connections concerned come out.
+//! Tracks which process owns each connection while one process of a node transfers its connections to the other. This module
+//! does no I/O: the caller reports sent connections and answers.
 
 use super::socket::SendOutcome;
 use lupincrank_reactor::ComponentId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Connections in flight from one process to the other: each has its descriptors open in both meanwhile.
+/// Maximum number of connections in flight. The descriptors of a connection in flight are open in both processes.
 pub(crate) const MAX_IN_FLIGHT: usize = 4;
 
-/// What the other process has answered to a transferred connection.
+/// The other process's answer to an offered connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransferAnswer {
-    /// It owns the connection now.
+    /// The other process owns the connection.
     Accepted,
     /// The sender still owns the connection.
     Rejected,
 }
 
-/// The connections that are still to be transferred, and those in flight. A connection is owned by this process until the
-/// other one has accepted it.
+/// The connections that wait for their transfer, and those in flight. This process owns a connection until the other one
+/// has accepted it.
 #[derive(Default)]
 pub(crate) struct TransferQueue {
     waiting: VecDeque<ComponentId>,
@@ -28,12 +28,12 @@
 }
 
 impl TransferQueue {
-    /// Adds connections at the end of the queue.
+    /// Appends connections to the queue.
     pub(crate) fn enqueue(&mut self, ids: impl IntoIterator<Item = ComponentId>) {
         self.waiting.extend(ids);
     }
 
-    /// Takes the connections that may be sent now from the queue.
+    /// Removes the connections from the queue that may be sent.
     pub(crate) fn next_batch(&mut self) -> Vec<ComponentId> {
         let count = MAX_IN_FLIGHT
             .saturating_sub(self.in_flight.len())
@@ -41,12 +41,12 @@
         self.waiting.drain(..count).collect()
     }
 
-    /// The number under which the next connection is sent.
+    /// The number of the next connection to be sent.
     pub(crate) fn next_number(&self) -> u64 {
         self.last_number + 1
     }
 
-    /// The connection was sent under the next number, or there was no space for it and it waits again.
+    /// Records that the connection was sent with the next number, or appends it to the queue again if it was not sent.
     pub(crate) fn record_send(&mut self, id: ComponentId, outcome: SendOutcome) {
         match outcome {
             SendOutcome::Sent => {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// The other process has answered the connection of this number. Returns the connection; `None` where no connection of
-    /// that number is in flight.
+    /// Records the other process's answer to the connection with this number. Returns the connection, or `None` if no
+    /// connection with this number is in flight.
     pub(crate) fn record_answer(
         &mut self,
         number: u64,
@@ -71,19 +71,19 @@
         Some(id)
     }
 
-    /// The other process is gone: empties the queue and returns the connections in flight, which this process still owns.
+    /// Cancels the transfer: empties the queue and returns the connections in flight, which this process still owns.
     pub(crate) fn cancel(&mut self) -> Vec<ComponentId> {
         self.waiting.clear();
         let cancelled = std::mem::take(&mut self.in_flight);
         cancelled.into_values().collect()
     }
 
-    /// Whether no connection is in flight.
+    /// Returns true if no connection is in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// How many connections the other process has accepted.
+    /// The number of connections that the other process has accepted.
     pub(crate) fn accepted_count(&self) -> usize {
         self.accepted_count
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -51,7 +51,7 @@
         WellKnownComponent::Handoff.id(),
         Box::new(handoff::HandoffAgent),
     );
-    handoff::begin(context);
+    handoff::initialize(context);
     cluster_agent::start(context).map_err(io::Error::other)?;
     if let Some(address) = context.config.admin_address {
         let admin = admin::AdminListener::new(context, address)?;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -103,7 +103,7 @@
         if self.shutdown.is_some() {
             return Err(NotServingError::ShuttingDown);
         }
-        if !self.handoff.is_settled() {
+        if !self.handoff.is_startup_complete() {
             return Err(NotServingError::PredecessorNotReached);
         }
         self.placement.check_endpoint_list()?;
--- a/crates/node/tests/races.rs
+++ b/crates/node/tests/races.rs
@@ -203,7 +203,7 @@
     let silent_since = Instant::now();
     let full_backlog = common::FullBacklog::fill(&rig.discovery);
     rig.wait_for_log("endpoint watch fell silent");
-    rig.wait_for_log("nothing came in time");
+    rig.wait_for_log("discovery did not answer in time");
     let mut call = full_backlog.release();
     assert_eq!(call.receive(), "GET /v1/endpoints?watch=1&from=1 HTTP/1.1");
     assert!(
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -312,7 +312,7 @@
     assert!(began.elapsed() < Duration::from_secs(6));
     rig.establish();
     if extension == "out" {
-        rig.wait_for_log("its checksum does not fit");
+        rig.wait_for_log("checksum of the file does not match");
     }
 }
 
