--- a/crates/simulator/src/experiments/compare.rs
+++ b/crates/simulator/src/experiments/compare.rs
@@ -3,7 +3,7 @@
 use super::{Estimate, KeyMetrics};
 use crate::policy::PolicyName;
 use crate::scenario::Scenario;
-use crate::world::play;
+use crate::world::run_scenario;
 use rayon::prelude::*;
 use serde::Serialize;
 use std::fmt::Write;
@@ -38,7 +38,7 @@
     let runs: Vec<KeyMetrics> = jobs
         .par_iter()
         .map(|(name, seed)| {
-            let metrics = KeyMetrics::of(&play(scenario, *seed, *name));
+            let metrics = KeyMetrics::of(&run_scenario(scenario, *seed, *name));
             done();
             metrics
         })
--- a/crates/simulator/src/experiments/sweep.rs
+++ b/crates/simulator/src/experiments/sweep.rs
@@ -3,7 +3,7 @@
 use super::{Estimate, KeyMetrics};
 use crate::policy::PolicyName;
 use crate::scenario::{self, Scenario, ScenarioError};
-use crate::world::play;
+use crate::world::run_scenario;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
@@ -170,7 +170,7 @@
     }
     let row = |(point, name, scenario): &(usize, PolicyName, Scenario)| {
         let run = |seed: u64| {
-            let metrics = KeyMetrics::of(&play(scenario, seed, *name));
+            let metrics = KeyMetrics::of(&run_scenario(scenario, seed, *name));
             done();
             metrics
         };
