--- a/crates/node/src/application.rs
+++ b/crates/node/src/application.rs
@@ -1,4 +1,5 @@
-//! The hooks of the event loop: carries out what was decided, fires the application's deadlines, and ends the program.
+//! The application hooks of the event loop: executes placement commands, handles the application's deadlines, and
+//! decides when the program exits.
 
 use crate::command::{ClientCommand, DiscoveryCommand, Message, RelayCommand, SignalCommand};
 use crate::component::{is_allocated_id, WellKnownComponent, FIRST_ADMIN_CONNECTION_ID};
@@ -10,12 +11,13 @@
 use slog::{info, warn};
 use std::time::{Duration, Instant};
 
-/// The last step of the shutdown may come so long after the deadline: a process may be held up, but not until it is killed.
+/// The process exits this long after the shutdown deadline even if clients are unanswered: a stalled process may
+/// perform the last step late, but must exit before it is killed.
 const MAX_EXIT_DELAY: Duration = Duration::from_millis(200);
-/// How often connections are checked for lines without an answer.
+/// The interval at which connections are checked for unanswered lines.
 pub(crate) const UNANSWERED_LINES_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Sets the next check for unanswered lines.
+/// Schedules the next check for unanswered lines.
 pub(crate) fn schedule_unanswered_lines_check(context: &mut NodeContext) {
     context.deadlines.set(
         APPLICATION,
@@ -24,7 +26,7 @@
     );
 }
 
-/// Carries out one decision.
+/// Executes one placement command.
 fn execute(context: &mut NodeContext, command: Command) {
     match command {
         Command::StartAttempt { owner, attempt } => {
@@ -49,8 +51,8 @@
     }
 }
 
-/// Tells all connections of clients that the process exits, or queues them for the transfer to its successor, where that
-/// was asked for.
+/// Notifies all client connections that the process exits, or queues them for transfer to the successor, if a callback
+/// requested it.
 fn notify_connections(
     context: &mut NodeContext,
     components: &mut dyn Iterator<Item = ComponentId>,
@@ -103,7 +105,8 @@
         let is_done = self.has_listened_long_enough(shutdown, now)
             && !self.has_connections()
             && self.has_left_cluster();
-        let has_answered_all = (is_done || shutdown.has_ended) && !self.is_accept_retry_pending;
+        let has_answered_all =
+            (is_done || shutdown.is_last_step_done) && !self.is_accept_retry_pending;
         let is_finished = has_answered_all || now >= shutdown.deadline + MAX_EXIT_DELAY;
         if is_finished {
             info!(self.log, "shutdown complete"; "clients" => self.client_count.get());
@@ -112,7 +115,7 @@
     }
 
     fn on_undelivered(&mut self, _id: ComponentId, message: Message) {
-        // A socket sent to a client that has ended meanwhile is closed with the message.
+        // If the client connection has closed, dropping the message closes the server's socket that it holds.
         if let Message::Client(ClientCommand::AttemptAccepted(attempt)) = message {
             warn!(self.log, "attempt accepted without a client"; "request" => hex_id(attempt.request));
         }
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -3,40 +3,40 @@
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use std::net::SocketAddr;
 
-/// What the program is asked to do.
+/// A command of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     /// Run the node.
     Serve {
-        /// The configuration, if not the one that `RELAY_CONFIG` names.
+        /// The configuration file; defaults to the path in `RELAY_CONFIG`.
         config: Option<String>,
-        /// The operator's file, if there is one.
+        /// The operator's file, if any.
         operator: Option<String>,
-        /// Log each request too.
+        /// Also log individual requests and attempts.
         verbose: bool,
     },
-    /// Read the configuration and say whether it holds.
+    /// Check the configuration and report whether it is valid.
     CheckConfig {
-        /// The configuration, if not the one that `RELAY_CONFIG` names.
+        /// The configuration file; defaults to the path in `RELAY_CONFIG`.
         config: Option<String>,
-        /// The operator's file, if there is one.
+        /// The operator's file, if any.
         operator: Option<String>,
     },
-    /// Ask a node about its cluster.
+    /// Query a node about its cluster, or recover a lost quorum.
     Fleet {
-        /// How to print the answer.
+        /// The output format of the answer.
         format: OutputFormat,
         /// `status`, `members`, `log` or `reseed`.
-        what: String,
+        subcommand: String,
         /// The node's admin address.
         address: SocketAddr,
     },
-    /// Ask for the cluster's budgets, or change one.
+    /// Show the cluster's budgets, or preview or apply a change.
     Budgets {
-        /// How to print the answer.
+        /// The output format of the answer.
         format: OutputFormat,
         /// `show`, `plan` or `set`.
-        what: String,
+        subcommand: String,
         /// The node's admin address.
         address: SocketAddr,
         /// `NAME=CAPACITY`, for `plan` and `set`.
@@ -46,23 +46,23 @@
     Manage {
         /// The node's admin address.
         address: SocketAddr,
-        /// The words of the call.
+        /// The words of the admin call.
         call: Vec<String>,
     },
     /// Print the version.
     Version,
 }
 
-/// How an answer is printed.
+/// The output format of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
-    /// As it comes.
+    /// The JSON as received.
     Json,
-    /// Laid out for people.
+    /// A human-readable table.
     Table,
 }
 
-/// The parser of the command line.
+/// Returns the parser of the command line.
 pub(crate) fn parser() -> OptionParser<Command> {
     let serve = serve().command("serve");
     let check = check_config().command("check-config");
@@ -72,7 +72,7 @@
     let version = version().command("version");
     construct!([serve, check, manage, fleet, budgets, version])
         .to_options()
-        .descr("lupincrank: places long-lived connections on transcribers by rendezvous hashing")
+        .descr("lupincrank: places long-lived connections on servers by rendezvous hashing")
 }
 
 fn serve() -> OptionParser<Command> {
@@ -80,7 +80,7 @@
     let operator = operator_path();
     let verbose = long("verbose")
         .short('v')
-        .help("Log single requests and tries too")
+        .help("Also log individual requests and attempts")
         .switch();
     construct!(Command::Serve {
         config,
@@ -96,47 +96,47 @@
     let operator = operator_path();
     construct!(Command::CheckConfig { config, operator })
         .to_options()
-        .descr("Read the configuration and say what is wrong with it")
+        .descr("Check the configuration and report the first error")
 }
 
 fn manage() -> OptionParser<Command> {
     let address = admin_address();
     let call = positional::<String>("CALL")
         .help("check, set-down ID, set-up ID, fleet WHAT or budgets WHAT")
-        .some("a call is missing");
+        .some("an admin call is required");
     construct!(Command::Manage { address, call })
         .to_options()
-        .descr("Make one call at a node's second address; the exit code is 0 for done")
+        .descr("Make one admin call to a node; the exit code is 0 if the answer is done")
 }
 
 fn fleet() -> OptionParser<Command> {
     let format = output_format();
-    let what = positional::<String>("WHAT").help("status, members, log or reseed");
+    let subcommand = positional::<String>("WHAT").help("status, members, log or reseed");
     let address = admin_address();
     construct!(Command::Fleet {
         format,
-        what,
+        subcommand,
         address
     })
     .to_options()
-    .descr("Ask a node about its fleet, or found the council anew")
+    .descr("Query a node about its fleet, or recover a lost quorum with reseed")
 }
 
 fn budgets() -> OptionParser<Command> {
     let format = output_format();
-    let what = positional::<String>("WHAT").help("show, plan or set");
+    let subcommand = positional::<String>("WHAT").help("show, plan or set");
     let address = admin_address();
     let change = positional::<String>("NAME=CAPACITY")
-        .help("For plan and set, as in cold=60")
+        .help("The change for plan and set, for example cold=60")
         .optional();
     construct!(Command::Budgets {
         format,
-        what,
+        subcommand,
         address,
         change
     })
     .to_options()
-    .descr("Show the fleet's budgets, try a change out, or make it")
+    .descr("Show the fleet's budgets, preview a change, or apply it")
 }
 
 fn version() -> OptionParser<Command> {
@@ -148,20 +148,20 @@
 fn config_path() -> impl Parser<Option<String>> {
     long("config")
         .short('c')
-        .help("Configuration file; without it the one that RELAY_CONFIG names")
+        .help("Configuration file; defaults to the path in RELAY_CONFIG")
         .argument::<String>("FILE")
         .optional()
 }
 
 fn operator_path() -> impl Parser<Option<String>> {
     long("operator")
-        .help("The operator's file: the fleet and its budgets")
+        .help("The operator's file, which defines the fleet and its budgets")
         .argument::<String>("FILE")
         .optional()
 }
 
 fn admin_address() -> impl Parser<SocketAddr> {
-    positional::<SocketAddr>("ADDRESS").help("The node's second address, as address:port")
+    positional::<SocketAddr>("ADDRESS").help("The node's admin address, as address:port")
 }
 
 fn output_format() -> impl Parser<OutputFormat> {
--- a/crates/node/src/client/listener.rs
+++ b/crates/node/src/client/listener.rs
@@ -46,7 +46,9 @@
 
     /// Accepts what waits, and pauses where that fails for a moment.
     fn accept_or_pause(&mut self, context: &mut NodeContext) {
-        let is_exiting = context.shutdown.is_some_and(|shutdown| shutdown.has_ended);
+        let is_exiting = context
+            .shutdown
+            .is_some_and(|shutdown| shutdown.is_last_step_done);
         let max_accepts = if is_exiting {
             poll::LISTEN_BACKLOG
         } else {
@@ -109,7 +111,9 @@
 }
 
 fn retry_later(context: &mut NodeContext) {
-    let is_exiting = context.shutdown.is_some_and(|shutdown| shutdown.has_ended);
+    let is_exiting = context
+        .shutdown
+        .is_some_and(|shutdown| shutdown.is_last_step_done);
     let backoff = if is_exiting {
         EXIT_ACCEPT_BACKOFF
     } else {
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -1,4 +1,4 @@
-//! What the node's components tell each other: one enum of commands for each kind of receiver.
+//! Messages between the node's components: one enum of commands for each kind of receiver.
 
 use crate::placement_driver::AttemptOrder;
 use lupincrank_placement::{Outcome, RequestId};
@@ -7,8 +7,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A message to a component. A component ignores commands to another kind of receiver: its id may have passed from a
-/// client connection to a relay while the command was on its way.
+/// A message to a component. A component ignores commands for another kind of receiver: a relay may have taken over the
+/// id of a client connection while the command was queued.
 pub(crate) enum Message {
     /// To a client connection.
     Client(ClientCommand),
@@ -28,7 +28,7 @@
     AdminConnection(AdminConnectionCommand),
     /// To the handoff.
     Handoff(HandoffCommand),
-    /// To the receiver of signals.
+    /// To the signal receiver.
     Signals(SignalCommand),
     /// To a connection between two nodes of the cluster.
     ClusterConnection(ClusterConnectionCommand),
@@ -38,30 +38,30 @@
 pub(crate) enum ClientCommand {
     /// Start an attempt.
     StartAttempt(AttemptOrder),
-    /// Reject the request; the client may come again after this time.
+    /// Reject the request; the client may retry after this time.
     Reject(Duration),
-    /// End the request as failed.
+    /// Answer the request as failed.
     Fail,
-    /// The attempt of this id has its connection: its line may be sent if the client still waits.
+    /// The attempt with this id is connected: it may send the first line if the client still waits.
     AttemptConnected(ComponentId),
-    /// The attempt's server has accepted the request; the connection comes along.
+    /// The attempt's server has accepted the request; contains the connection to it.
     AttemptAccepted(AcceptedAttempt),
-    /// The attempt's server has served the request to its end at once; the line for the client.
+    /// The attempt's server has completed the request with a single answer; contains the line for the client.
     AttemptServed(Vec<u8>),
-    /// The attempt to restore a connection from before this process's start has ended like this.
+    /// The attempt to restore a connection from before this process's start has failed with this outcome.
     RestoreFailed(Outcome),
     /// Close: the descriptor is needed for another client.
     Close,
-    /// The process exits soon: answer if this connection is among those that are to be answered now.
+    /// The process exits soon: answer the client if the scope includes this connection.
     AnswerBeforeExit(ExitScope),
 }
 
-/// Which connections are answered because the process exits.
+/// The connections that are answered because the process exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitScope {
-    /// Restored ones that wait for their server.
+    /// Restored connections that wait for their server.
     RestoredConnections,
-    /// Those that rest without a first line too.
+    /// Also connections without a first line.
     AllConnections,
 }
 
@@ -71,18 +71,18 @@
     pub(crate) request: RequestId,
     /// The connection to the server.
     pub(crate) stream: Registered<TcpStream>,
-    /// What has been received on it: the `UP` line and perhaps more.
+    /// The bytes received from the server: the `UP` line and possibly more.
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Commands to a connection that is to go over to another process of this node.
+/// Commands to a connection that is transferred to another process of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransferCommand {
     /// Transfer to the successor.
     Start,
     /// The successor has taken the connection over.
     Completed,
-    /// The successor has not taken it: it stays here.
+    /// The successor has not taken the connection over: it stays in this process.
     Cancelled,
 }
 
@@ -91,14 +91,14 @@
 pub(crate) enum AttemptCommand {
     /// The client still waits: send the first line.
     SendFirstLine,
-    /// Close: nobody waits for the answer.
+    /// Close: the client does not wait for the answer.
     Close,
 }
 
 /// Commands to a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RelayCommand {
-    /// Send the client away between two lines; it connects anew.
+    /// Ask the client to reconnect (`MOVE`), between two lines.
     Migrate,
 }
 
@@ -114,43 +114,43 @@
 /// Commands to the discovery client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryCommand {
-    /// Apply the endpoint list that the configuration holds.
+    /// Apply the endpoint list from the configuration file.
     ApplyKnownList,
     /// Watch the endpoint list.
     Watch,
-    /// The configuration names another address: connect there.
+    /// The discovery address in the configuration has changed: connect to the new one.
     AddressChanged,
 }
 
 /// Commands to the client listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerCommand {
-    /// Accept no clients for now: another process does.
+    /// Stop accepting clients: another process of this node accepts them.
     Pause,
     /// Accept clients again.
     Resume,
-    /// The process exits: accept all that waits now.
+    /// The process exits: accept all connections in the accept queue.
     AcceptAll,
 }
 
 /// Commands to an admin connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdminConnectionCommand {
-    /// Close: the descriptor is needed for another one.
+    /// Close: the descriptor is needed for another admin connection.
     Close,
 }
 
 /// Commands to the handoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HandoffCommand {
-    /// Accept clients if this process can serve them now.
+    /// Start to accept clients if this process can serve them.
     OpenListener,
 }
 
-/// Commands to the receiver of signals.
+/// Commands to the signal receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SignalCommand {
-    /// Handle the signals that have come: the event loop may not have been woken for them.
+    /// Handle pending signals: the event loop may not have been woken for them.
     Check,
 }
 
@@ -161,7 +161,7 @@
     Close,
 }
 
-macro_rules! wrapped_in_message {
+macro_rules! impl_into_message {
     ($($receiver:ident($command:ty)),+ $(,)?) => {
         $(impl From<$command> for Message {
             fn from(command: $command) -> Message {
@@ -171,7 +171,7 @@
     };
 }
 
-wrapped_in_message!(
+impl_into_message!(
     Client(ClientCommand),
     Transfer(TransferCommand),
     Attempt(AttemptCommand),
--- a/crates/node/src/component.rs
+++ b/crates/node/src/component.rs
@@ -1,8 +1,8 @@
-//! The ids of the components that every node has, and the range that admin connections take theirs from.
+//! The ids of the components that every node has, and the id range of admin connections.
 
 use lupincrank_reactor::ComponentId;
 
-/// A component with a fixed id. Components that come and go have allocated ids after these.
+/// A component with a fixed id. All other components have allocated ids, which follow the fixed ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 pub(crate) enum WellKnownComponent {
@@ -10,7 +10,7 @@
     Discovery = 1,
     /// The listener for clients.
     ClientListener = 2,
-    /// The receiver of signals.
+    /// The signal receiver.
     Signals = 3,
     /// The listener for admin calls.
     AdminListener = 4,
@@ -32,10 +32,10 @@
 /// The highest fixed id: allocated ids begin after it.
 pub(crate) const LAST_WELL_KNOWN_ID: ComponentId = WellKnownComponent::DurableStorage.id();
 
-/// Admin connections have ids from here on: their events are handled before those of other components.
+/// The lowest id of admin connections, whose events are handled before those of other components.
 pub(crate) const FIRST_ADMIN_CONNECTION_ID: ComponentId = 1 << 60;
 
-/// Whether the id was allocated by the event loop, so that its component may be a client's connection.
+/// Returns true if the event loop allocated the id, so that its component may be a client connection.
 pub(crate) fn is_allocated_id(id: ComponentId) -> bool {
     (LAST_WELL_KNOWN_ID + 1..FIRST_ADMIN_CONNECTION_ID).contains(&id)
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The node's configuration: `RELAY_*` variables and the JSON file that one of them names.
+//! The node's configuration: `RELAY_*` environment variables and a JSON configuration file.
 
 mod document;
 mod error;
@@ -17,59 +17,59 @@
 
 const PATH_VARIABLE: &str = "RELAY_CONFIG";
 
-/// The node's configuration, checked.
+/// The node's validated configuration.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The node's name, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen_address: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery_address: SocketAddr,
-    /// Where admin calls come in, if anywhere.
+    /// The address for admin calls, if any.
     pub admin_address: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// The descriptor that holds the clients' listening socket, where the platform opened it.
+    /// The descriptor of the clients' listening socket, if the platform opened it.
     pub inherited_descriptor: Option<i32>,
-    /// What the process may take of the machine.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// The file that all of this was read from.
+    /// The path of the configuration file.
     path: String,
-    /// The address of discovery as it is written in the file.
+    /// The address of discovery as written in the file.
     discovery_in_file: Option<String>,
-    /// The file as it is written, but for the entries of the known endpoint list.
+    /// The file as JSON, without the entries of the known endpoint list.
     pub document: Value,
-    /// The cluster, where an operator's file names one; a change waits for the next start.
+    /// The cluster, if the operator's file defines one; changes apply at the next start.
     pub cluster: Option<ClusterConfig>,
-    /// The endpoint list as this node last had it.
+    /// The initial endpoint list: the last one that this node received.
     pub known_endpoints: Option<EndpointListUpdate>,
-    /// What the decisions need.
+    /// The settings of the placement module.
     pub settings: Settings,
-    /// How long a connection may take to be established.
+    /// The timeout for establishing a connection to a server.
     pub connect_timeout: Duration,
-    /// The names of classes, in their order.
+    /// The names of classes, by index.
     pub classes: Vec<String>,
-    /// The names of zones, in their order.
+    /// The names of zones, by index.
     pub zones: Vec<String>,
-    /// The names of machine kinds, in their order.
+    /// The names of machine kinds, by index.
     pub machine_kinds: Vec<String>,
-    /// The names of tenants, in their order.
+    /// The names of tenants, by index.
     pub tenants: Vec<String>,
-    /// The names of the fields of load reports, in their order.
+    /// The names of the fields of load reports, by index.
     pub report_fields: Vec<String>,
-    /// The same for the report that an answer to a request may close with; empty where answers carry none.
+    /// The names of the fields of load reports at the end of answers to requests; empty if answers contain none.
     pub answer_report_fields: Vec<String>,
-    /// Whether clients name a group in place of themselves.
+    /// Whether the subject of a client's first line is a group instead of a key.
     pub has_groups: bool,
-    /// The longest time that any client waits.
+    /// The longest deadline of any request class.
     pub max_deadline: Duration,
 }
 
 impl Config {
-    /// Reads the file at `path`, or the one that `RELAY_CONFIG` names. `variable` looks up the environment.
+    /// Reads the file at `path`, or at the path in `RELAY_CONFIG`. `variable` looks up environment variables.
     ///
     /// # Errors
-    /// Names the file and what is wrong with it.
+    /// If the file cannot be read or is not valid; the error names the file.
     pub fn load(
         path: Option<&str>,
         variable: impl Fn(&str) -> Option<String>,
@@ -81,8 +81,8 @@
         Config::load_file(&path, variable, None)
     }
 
-    /// Reads the file at `path`. Where it is to replace another one, `previous`, it has to hold by the strict rules for
-    /// that.
+    /// Reads the file at `path`. If it replaces another file, `previous`, it must also pass the strict validation for
+    /// replacements.
     fn load_file(
         path: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -104,7 +104,7 @@
         if let Some(previous) = previous {
             lupincrank_settings::validate(&document, Some(previous))?;
         }
-        // The list may be long, and only whether it is there is asked for later.
+        // The list may be long, and validation only checks that it is present.
         if let Some(known @ Value::Object(_)) = document.get_mut("known") {
             *known = Value::Object(Map::new());
         }
--- a/crates/node/src/config/document.rs
+++ b/crates/node/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The configuration file as it is written, and how it and the environment become a [`Config`].
+//! The configuration file's JSON form, and the conversion of the file and environment variables into a [`Config`].
 
 use super::limits::{LimitsDocument, ResourceLimits};
 use super::{Config, ConfigError};
@@ -15,7 +15,7 @@
 /// The highest descriptor of the standard streams.
 const MAX_STANDARD_DESCRIPTOR: i32 = 2;
 
-/// The file.
+/// The JSON form of the configuration file.
 #[derive(Deserialize)]
 struct ConfigDocument {
     name: Option<String>,
@@ -54,7 +54,7 @@
 const INHERITED_DESCRIPTOR: &str = "RELAY_INHERITED_FD";
 
 impl Entry {
-    /// The value that holds: a variable that is set goes before the file.
+    /// Returns the effective value: the environment variable overrides the file.
     fn value(
         self,
         variable: &impl Fn(&str) -> Option<String>,
@@ -118,7 +118,7 @@
 
 fn placement_settings(deployment: &DeploymentSettings) -> Result<Settings, ConfigError> {
     let mut settings = deployment.placement_settings()?;
-    // On sockets discovery tells nothing unasked.
+    // Over real sockets, discovery sends changes only in answer to a watch request.
     settings.requires_endpoint_watch = true;
     if settings.classes.is_empty() {
         return Err(ConfigError::NoClasses);
@@ -127,10 +127,10 @@
 }
 
 impl Config {
-    /// Reads the file's text; a variable that is set goes before the same entry of the file.
+    /// Parses the file's text; an environment variable overrides the same entry of the file.
     ///
     /// # Errors
-    /// Names the first entry that is missing or wrong.
+    /// The first missing or invalid entry.
     pub fn parse(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -1,37 +1,37 @@
-//! What can be wrong with a node's configuration.
+//! Errors of a node's configuration.
 
 use crate::discovery::endpoint_list::EndpointListError;
 use lupincrank_settings::{SettingsError, ValidationError};
 use std::io;
 
-/// Why a configuration cannot be used.
+/// An error that makes a configuration unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Neither the command line nor the environment names a file.
-    #[error("no configuration: set RELAY_CONFIG or give --config")]
+    /// Neither the command line nor the environment contains the path of a file.
+    #[error("no configuration file: set RELAY_CONFIG or pass --config")]
     NoPath,
-    /// A fault of a file.
+    /// An error in a file.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The fault.
+        /// The error.
         source: Box<ConfigError>,
     },
     /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// The file is not JSON, or a value is of another type.
+    /// The file is not valid JSON, or a value has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The file may not replace the one in use.
+    /// The file must not replace the one in use.
     #[error(transparent)]
     Validation(#[from] ValidationError),
-    /// A value of the settings is unknown.
+    /// The settings contain an unknown value.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The settings have no request class.
-    #[error("settings: Categories names no class")]
+    /// The settings contain no request class.
+    #[error("settings.Categories contains no class")]
     NoClasses,
     /// A required entry is set neither in the environment nor in the file.
     #[error("neither {variable} nor {key:?} is set")]
@@ -41,7 +41,7 @@
         /// The key in the file.
         key: &'static str,
     },
-    /// An entry is no socket address.
+    /// An entry is not a valid socket address.
     #[error("{variable} / {key:?}: {value:?} is not an address:port")]
     InvalidAddress {
         /// The environment variable.
@@ -51,47 +51,47 @@
         /// The value.
         value: String,
     },
-    /// The changed address of discovery is no socket address.
+    /// The new address of discovery is not a valid socket address.
     #[error("discovery: {value:?} is not an address:port")]
     InvalidDiscoveryAddress {
         /// The value.
         value: String,
     },
-    /// The inherited descriptor is no number over those of the standard streams.
-    #[error("RELAY_INHERITED_FD: {value:?} is no descriptor over 2")]
+    /// The inherited descriptor is not a number above those of the standard streams.
+    #[error("RELAY_INHERITED_FD: {value:?} is not a file descriptor above 2")]
     InvalidDescriptor {
         /// The value.
         value: String,
     },
-    /// The seed is no hexadecimal number.
-    #[error("seed: {value:?} is not hexadecimal")]
+    /// The seed is not a 64-bit hexadecimal number.
+    #[error("seed: {value:?} is not a 64-bit hexadecimal number")]
     InvalidSeed {
         /// The value.
         value: String,
     },
-    /// The process may hold too few descriptors.
-    #[error("limits.sockets: {value} is too few, {min} are needed")]
+    /// The descriptor limit is too small.
+    #[error("limits.sockets: {value} is below the minimum of {min}")]
     TooFewSockets {
         /// The value.
         value: usize,
-        /// The smallest number that is accepted.
+        /// The smallest accepted value.
         min: usize,
     },
-    /// The part of a core is not a positive number.
-    #[error("limits.cores: {value} is no part of a core")]
+    /// The number of cores is not a positive, finite number.
+    #[error("limits.cores: {value} is not a positive number")]
     InvalidCores {
         /// The value.
         value: f64,
     },
-    /// The process may take too little memory.
-    #[error("limits.memory_mb: {value} is too little, {min} are needed")]
+    /// The memory limit is too small.
+    #[error("limits.memory_mb: {value} is below the minimum of {min}")]
     TooLittleMemory {
         /// The value.
         value: usize,
-        /// The smallest number that is accepted.
+        /// The smallest accepted value.
         min: usize,
     },
-    /// An entry of the known endpoint list is wrong.
+    /// The known endpoint list contains an invalid entry.
     #[error("known: {0}")]
     KnownEndpoints(EndpointListError),
 }
--- a/crates/node/src/config/limits.rs
+++ b/crates/node/src/config/limits.rs
@@ -1,4 +1,4 @@
-//! What the process may take of the machine, and the bounds that follow from it.
+//! Resource limits of the process, and the bounds derived from them.
 
 use super::{Config, ConfigError};
 use serde::Deserialize;
@@ -9,36 +9,37 @@
 const MIN_MEMORY_MB: usize = 24;
 const DEFAULT_CORES: f64 = 1.0;
 
-/// What the node keeps of its memory for the program itself, the endpoint list and the decisions.
+/// Memory reserved for the program itself, the endpoint list and the placement state.
 const PROGRAM_MEMORY_MB: usize = 12;
-/// The part of the rest that buffers may take.
+/// The fraction of the remaining memory for buffers, as a divisor.
 const BUFFER_MEMORY_DIVISOR: usize = 2;
-/// How many buffers of the largest size are reckoned for each client.
+/// The number of full buffers assumed for each client.
 const BUFFERS_PER_CLIENT: usize = 4;
-/// The least and the most that is buffered for one direction of a connection: two lines of the longest kind, and
-/// what one read may bring.
+/// Bounds of the bytes buffered for one direction of a connection: two lines of the maximum length, and the data of one
+/// read.
 const MIN_BUFFERED_BYTES: usize = 8 << 10;
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// New connections that one turn accepts with a whole core, and at the least.
+/// Bounds of the new connections accepted in one turn of the loop; the maximum is for a whole core.
 const MAX_ACCEPTS: usize = 16;
 const MIN_ACCEPTS: usize = 4;
-/// Descriptors of the loop, the listener, discovery, signals and the standard streams, and those that one turn may
-/// take before room is made.
+/// Descriptors for the event loop, the listener, discovery, signals and the standard streams, and those that one turn
+/// may use before excess connections are closed.
 const OWN_DESCRIPTORS: usize = 40;
-/// Admin connections held at once: such a part of the descriptors, within these bounds.
+/// The limit of open admin connections is this fraction of the descriptors, as a divisor, within these bounds.
 const ADMIN_CONNECTIONS_DIVISOR: usize = 24;
 const MIN_ADMIN_CONNECTIONS: usize = 4;
 const MAX_ADMIN_CONNECTIONS: usize = 32;
-/// Connections for health checks held at once, where they are allowed: likewise.
+/// The limit of open health check connections, if allowed: also a fraction of the descriptors within bounds.
 const HEALTH_CHECKS_DIVISOR: usize = 24;
 const MIN_HEALTH_CHECKS: usize = 4;
 const MAX_HEALTH_CHECKS: usize = 64;
-/// The part of the descriptors that connections may always have which ask for nothing yet or have their answer.
+/// The fraction of the descriptors, as a divisor, that is always available to unidentified connections: those that have
+/// not sent a request yet or have received their answer.
 const UNIDENTIFIED_CLIENTS_DIVISOR: usize = 12;
-/// Descriptors that a client with its request may need: its own and the server's.
+/// Descriptors for a client with a request: one for the client and one for its server.
 const DESCRIPTORS_PER_CLIENT: usize = 2;
 
-/// The limits as the file has them.
+/// The limits as written in the configuration file.
 #[derive(Deserialize, Default)]
 pub(super) struct LimitsDocument {
     cores: Option<f64>,
@@ -46,14 +47,14 @@
     sockets: Option<usize>,
 }
 
-/// What the process may take of the machine.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Descriptors that the process may hold.
+    /// The maximum number of open descriptors.
     pub sockets: usize,
-    /// The memory that the process may take.
+    /// The maximum memory, in MiB.
     pub memory_mb: usize,
-    /// The part of a core that it may take.
+    /// The CPU limit, in cores.
     pub cores: f64,
 }
 
@@ -68,10 +69,10 @@
 }
 
 impl ResourceLimits {
-    /// Whether the program can run with these.
+    /// Checks that the program can run within the limits.
     ///
     /// # Errors
-    /// Names the first limit that is too small.
+    /// The first limit that is too small.
     pub(super) fn check(&self) -> Result<(), ConfigError> {
         if self.sockets < MIN_SOCKETS {
             return Err(ConfigError::TooFewSockets {
@@ -93,15 +94,14 @@
 }
 
 impl Config {
-    /// How many connections may be held that ask for nothing yet or have had their answer: what `client_count` clients
-    /// leave.
+    /// The maximum number of unidentified connections: the descriptors that `client_count` clients with requests leave.
     pub fn max_unidentified_clients(&self, client_count: usize) -> usize {
         let used = self.own_descriptors() + DESCRIPTORS_PER_CLIENT * client_count;
-        let left = self.limits.sockets.saturating_sub(used);
-        left.max(self.limits.sockets / UNIDENTIFIED_CLIENTS_DIVISOR)
+        let remaining = self.limits.sockets.saturating_sub(used);
+        remaining.max(self.limits.sockets / UNIDENTIFIED_CLIENTS_DIVISOR)
     }
 
-    /// How many admin connections are held at once.
+    /// The maximum number of open admin connections.
     pub fn max_admin_connections(&self) -> usize {
         if self.admin_address.is_none() {
             return 0;
@@ -110,7 +110,7 @@
             .clamp(MIN_ADMIN_CONNECTIONS, MAX_ADMIN_CONNECTIONS)
     }
 
-    /// How many connections for health checks are held at once.
+    /// The maximum number of open health check connections.
     pub fn max_health_checks(&self) -> usize {
         if !self.settings.health_checks_allowed {
             return 0;
@@ -122,23 +122,23 @@
         OWN_DESCRIPTORS + self.max_admin_connections() + self.max_health_checks()
     }
 
-    /// How many clients may be held with their request.
+    /// The maximum number of clients with a request.
     pub fn max_clients(&self) -> usize {
         let sockets = self.limits.sockets;
-        let left = (sockets - sockets / UNIDENTIFIED_CLIENTS_DIVISOR)
+        let remaining = (sockets - sockets / UNIDENTIFIED_CLIENTS_DIVISOR)
             .saturating_sub(self.own_descriptors());
-        left / DESCRIPTORS_PER_CLIENT
+        remaining / DESCRIPTORS_PER_CLIENT
     }
 
-    /// How many new connections one turn of the loop accepts: few where the core is shared, so that established ones are
-    /// not kept waiting for a throttled process.
+    /// The maximum number of new connections accepted in one turn of the loop: small for a fraction of a core, so that
+    /// established connections do not wait when the process is throttled.
     pub fn max_accepts_per_turn(&self) -> usize {
         let accepts = (self.limits.cores * MAX_ACCEPTS as f64).ceil() as usize;
         accepts.clamp(MIN_ACCEPTS, MAX_ACCEPTS)
     }
 
-    /// What may be buffered for one direction of a connection, so that all of them together fit into half of the
-    /// memory that is left.
+    /// The maximum bytes buffered for one direction of a connection, such that all buffers fit into half of the memory
+    /// that is not reserved for the program.
     pub fn max_buffered_bytes(&self) -> usize {
         let memory_left_mb = self.limits.memory_mb.saturating_sub(PROGRAM_MEMORY_MB);
         let buffer_bytes = (memory_left_mb << 20) / BUFFER_MEMORY_DIVISOR;
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -4,7 +4,7 @@
 const EXAMPLE: &str = include_str!("../../../../examples/config.json");
 
 #[test]
-fn a_variable_goes_before_the_file() {
+fn an_environment_variable_overrides_the_file() {
     let listen = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:9".to_string());
     let config = Config::parse(EXAMPLE, listen).unwrap();
     assert_eq!(
@@ -26,7 +26,7 @@
     #[case] memory_mb: usize,
     #[case] accepts: usize,
     #[case] clients: usize,
-    #[case] held: usize,
+    #[case] buffered_bytes: usize,
 ) {
     let limits =
         format!("\"cores\": {cores:?}, \"memory_mb\": {memory_mb}, \"sockets\": {sockets}");
@@ -41,24 +41,24 @@
             config.max_clients(),
             config.max_buffered_bytes()
         ),
-        (accepts, clients, held)
+        (accepts, clients, buffered_bytes)
     );
     assert!(
-        held * 4 * clients <= (memory_mb << 20),
+        buffered_bytes * 4 * clients <= (memory_mb << 20),
         "all buffers together"
     );
 }
 
 const DEADLINE: &str = "\"DeadlineNs\": 2000000000";
 
-/// What is wrong with a file that is to replace the example, and the place that is named.
+/// Each case replaces `original` by `replacement` in the example file; the error must contain `expected`.
 #[rstest]
 #[case::negative(DEADLINE, "\"DeadlineNs\": -5", "Categories[0].DeadlineNs: -5")]
 #[case::zero(DEADLINE, "\"DeadlineNs\": 0", "Categories[0].DeadlineNs: 0")]
 #[case::null(DEADLINE, "\"DeadlineNs\": null", "Categories[0].DeadlineNs")]
 #[case::text(DEADLINE, "\"DeadlineNs\": \"2\"", "Categories[0].DeadlineNs: \"2\"")]
 #[case::fraction("\"SendCap\": 3", "\"SendCap\": 0.4", "settings.Limits.SendCap: 0.4")]
-#[case::part_of_one("\"SendCap\": 3", "\"SendCap\": 2.5", "settings.Limits.SendCap: 2.5")]
+#[case::not_whole("\"SendCap\": 3", "\"SendCap\": 2.5", "settings.Limits.SendCap: 2.5")]
 #[case::none("\"SendCap\": 3", "\"SendCap\": 0", "settings.Limits.SendCap: 0")]
 #[case::too_large(
     "\"SendCap\": 3",
@@ -72,48 +72,56 @@
     "Categories[0].DeadlineNs is missing"
 )]
 #[case::no_window("\"repeatable\"", "\"by_key\"", "Categories[0].WindowNs is missing")]
-#[case::lost(
+#[case::removed_key(
     "Stream",
     "Stream",
-    "limits.swap is missing, and the present file has it"
+    "limits.swap is missing, but the file in use has it"
 )]
 #[case::no_classes(
     "\"Categories\"",
     "\"Categories\": [], \"Old\"",
-    "settings.Categories names no class"
+    "settings.Categories contains no class"
 )]
 #[case::no_settings("\"settings\"", "\"Settings\"", "settings.Instances is missing")]
 #[case::no_list("\"known\"", "\"Known\"", "known is missing")]
 #[case::empty("", "", "EOF while parsing a value at line 1")]
-fn a_file_that_does_not_hold_replaces_nothing(
-    #[case] good: &str,
-    #[case] bad: &str,
-    #[case] named: &str,
+fn an_invalid_file_does_not_replace_the_one_in_use(
+    #[case] original: &str,
+    #[case] replacement: &str,
+    #[case] expected: &str,
 ) {
     let path = std::env::temp_dir().join(format!("lupincrank-strict-{}", std::process::id()));
-    let path = path.with_extension(named.replace(|c: char| !c.is_alphanumeric(), ""));
-    let swap = if named.starts_with("limits.swap") {
+    let path = path.with_extension(expected.replace(|c: char| !c.is_alphanumeric(), ""));
+    let swap = if expected.starts_with("limits.swap") {
         "\"limits\": { \"swap\": 1, "
     } else {
         "\"limits\": { "
     };
     std::fs::write(&path, EXAMPLE.replace("\"limits\": { ", swap)).unwrap();
     let config = Config::load(path.to_str(), |_| None).unwrap();
-    let text = EXAMPLE.replacen(good, bad, 1).replace(
+    let text = EXAMPLE.replacen(original, replacement, 1).replace(
         "\"WindowNs\"",
-        if bad.contains("by_key") {
+        if replacement.contains("by_key") {
             "\"Old\""
         } else {
             "\"WindowNs\""
         },
     );
-    std::fs::write(&path, if good.is_empty() { String::new() } else { text }).unwrap();
+    std::fs::write(
+        &path,
+        if original.is_empty() {
+            String::new()
+        } else {
+            text
+        },
+    )
+    .unwrap();
     let error = config.reread(|_| None).err().unwrap().to_string();
     assert!(
-        error.contains(named) && error.contains(path.to_str().unwrap()),
+        error.contains(expected) && error.contains(path.to_str().unwrap()),
         "{error}"
     );
-    // And cut at any byte.
+    // A truncated file is rejected too.
     for cut in (0..EXAMPLE.trim_end().len()).step_by(97) {
         std::fs::write(&path, &EXAMPLE[..cut]).unwrap();
         assert!(config.reread(|_| None).is_err(), "cut at {cut}");
@@ -131,10 +139,14 @@
 #[case("repeatable", "sometimes", "Repeat")]
 #[case("\"name\"", "\"nom\"", "RELAY_NAME")]
 #[case("{", "[", "line 2 column")]
-fn a_bad_value_is_named(#[case] good: &str, #[case] bad: &str, #[case] named: &str) {
-    let error = Config::parse(&EXAMPLE.replace(good, bad), |_| None)
+fn an_invalid_value_is_named(
+    #[case] original: &str,
+    #[case] replacement: &str,
+    #[case] expected: &str,
+) {
+    let error = Config::parse(&EXAMPLE.replace(original, replacement), |_| None)
         .err()
         .unwrap()
         .to_string();
-    assert!(error.contains(named), "{error}");
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/node/src/deadline.rs
+++ b/crates/node/src/deadline.rs
@@ -1,57 +1,57 @@
-//! What the node's deadlines are for. Deadlines of one component that are due at the same instant fire in the order of
+//! The kinds of the node's deadlines. Deadlines of one component that are due at the same instant fire in the order of
 //! the variants.
 
 use lupincrank_placement::Timer;
 
-/// What a deadline is for.
+/// The kind of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DeadlineKind {
-    /// The next look at connections whose lines are unanswered; owned by the application.
+    /// The next check for unanswered lines; owned by the application.
     UnansweredLinesCheck,
-    /// A timer of the placement decisions; owned by the application.
+    /// A timer of the placement module; owned by the application.
     PlacementTimer(PlacementTimer),
-    /// The discovery client's.
+    /// A deadline of the discovery client.
     Discovery(DiscoveryDeadline),
     /// A listener accepts again after it ran out of descriptors.
     ResumeAccepting,
     /// The next step of the graceful shutdown.
     ShutdownStep,
-    /// An admin connection's call is due, or its close after the answer.
+    /// An admin connection closes, because no call was received in time or because the call was answered.
     AdminConnection,
-    /// The handoff's.
+    /// A deadline of the handoff.
     Handoff(HandoffDeadline),
-    /// The cluster agent's.
+    /// A deadline of the cluster agent.
     ClusterAgent(ClusterAgentDeadline),
-    /// A client connection's.
+    /// A deadline of a client connection.
     Client(ClientDeadline),
-    /// An attempt's.
+    /// A deadline of an attempt.
     Attempt(AttemptDeadline),
-    /// A relay's close after one of its sides has ended.
+    /// A relay closes after one of its sides has ended.
     RelayClose,
-    /// A health check's.
+    /// A deadline of a health check.
     HealthCheck(HealthCheckDeadline),
     /// The next call of a hollow node's observer.
     Observer,
 }
 
-/// One timer of the placement decisions. Timers of the same kind may be set side by side, so each has a number of
-/// its own; the earlier one fires first.
+/// A timer of the placement module. Several timers of the same kind may be set at once, so each has its own number; of
+/// timers due at the same instant, the one set first fires first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PlacementTimer {
     /// The timer's number, counted from the node's start.
     pub(crate) sequence: u64,
-    /// What it is for.
+    /// The purpose of the timer.
     pub(crate) kind: Timer,
 }
 
 /// Deadlines of the discovery client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DiscoveryDeadline {
-    /// The call in this slot (0 or 1) has to make progress.
+    /// The progress timeout of the call in this slot (0 or 1).
     Call(usize),
-    /// A second call is made beside one that is not answered.
+    /// A second call is made while the first is unanswered.
     SecondCall,
-    /// A call that this machine refused to make is to be made again.
+    /// The next try of a call whose connect failed locally.
     RetryCall,
 }
 
@@ -60,7 +60,7 @@
 pub(crate) enum HandoffDeadline {
     /// The next heartbeat to the other process.
     Heartbeat,
-    /// The next look at the queue of connections to transfer.
+    /// The next processing of the queue of connections to transfer.
     TransferStep,
 }
 
@@ -78,7 +78,7 @@
 /// Deadlines of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ClientDeadline {
-    /// The first line, or the client's end after its answer, is due.
+    /// The connection closes unless the first line, or after the answer the client's close, was received.
     Close,
     /// The next attempt to restore a connection from before this process's start.
     RestoreRetry,
@@ -87,24 +87,24 @@
 /// Deadlines of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum AttemptDeadline {
-    /// A connect that this machine refused is to be made again.
+    /// The next try of a connect that failed locally.
     RetryConnect,
-    /// The connection is due.
+    /// The timeout of the connect.
     Connect,
-    /// The answer is due.
+    /// The timeout of the answer.
     Answer,
 }
 
 /// Deadlines of a health check's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HealthCheckDeadline {
-    /// The connection is due.
+    /// The timeout of the connect.
     Connect,
-    /// The answer, or the next health check, is due.
+    /// The timeout of the answer, or the time of the next health check.
     Answer,
 }
 
-macro_rules! wrapped_in_deadline_kind {
+macro_rules! impl_into_deadline_kind {
     ($($kind:ident($deadline:ty)),+ $(,)?) => {
         $(impl From<$deadline> for DeadlineKind {
             fn from(deadline: $deadline) -> DeadlineKind {
@@ -114,7 +114,7 @@
     };
 }
 
-wrapped_in_deadline_kind!(
+impl_into_deadline_kind!(
     PlacementTimer(PlacementTimer),
     Discovery(DiscoveryDeadline),
     Handoff(HandoffDeadline),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,5 @@
-//! The node: lupincrank's decisions on real sockets. The program is [`main`]; [`hollow`] runs its part in the cluster alone.
+//! The node: runs lupincrank's placement module on real sockets. [`main`] is the program; [`hollow`] runs a node with
+//! the control plane only.
 
 mod admin;
 mod application;
--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -141,7 +141,8 @@
 }
 
 impl PlacementDriver {
-    /// A server has reported this number for an established connection: see [`LoadReports`](crate::load_report::LoadReports).
+    /// A server has reported this number for an established connection: see
+    /// [`LoadReportClassifier`](crate::load_report::LoadReportClassifier).
     pub(crate) fn on_load_report(&mut self, request: RequestId, value: f64) {
         let slow_delay = self.slow_delay();
         let Some(active) = self.requests.get_mut(&request) else {
--- a/crates/node/src/placement_driver/request.rs
+++ b/crates/node/src/placement_driver/request.rs
@@ -1,7 +1,7 @@
 //! A request from its first line to the end of its connection.
 
 use super::command::Owner;
-use crate::load_report::LoadReports;
+use crate::load_report::LoadReportClassifier;
 use lupincrank_placement::{RequestId, RequestInfo, ServerId};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -51,7 +51,7 @@
     /// When each line of the client was forwarded that nothing has come back for yet.
     unanswered_lines: VecDeque<Instant>,
     /// Tells loads and delays among the numbers that its server reports.
-    pub(super) load_reports: LoadReports,
+    pub(super) load_reports: LoadReportClassifier,
 }
 
 /// What an established connection needs to go on in another process of this node.
@@ -80,7 +80,7 @@
             info,
             load: None,
             unanswered_lines: VecDeque::new(),
-            load_reports: LoadReports::default(),
+            load_reports: LoadReportClassifier::default(),
         }
     }
 
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! The program: carries out what its command line asks for.
+//! The program: executes the command of its command line.
 
 use crate::admin;
 use crate::admin::status_table::UnreadableAnswer;
@@ -14,10 +14,10 @@
 use std::process::ExitCode;
 use std::sync::Mutex;
 
-/// What the answer to an admin call that was carried out begins with.
+/// The first word of the answer to a successful admin call.
 const DONE: &str = "done";
 
-/// Why a command has failed. The messages include their sources'.
+/// The error of a failed command. The messages include those of their sources.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
@@ -29,14 +29,14 @@
         path: String,
         source: ClusterConfigError,
     },
-    #[error("a start takes it, SIGHUP would turn it down: {0}")]
+    #[error("valid for a start, but SIGHUP would reject it: {0}")]
     NotReloadable(#[from] ValidationError),
     #[error("{address}: {source}")]
     AdminCall {
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("{address} said no")]
+    #[error("{address}: admin call failed")]
     AdminCallFailed { address: SocketAddr },
     #[error("{address}: {answer}")]
     AdminAnswer { address: SocketAddr, answer: String },
@@ -47,11 +47,11 @@
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("the loop failed: {0}")]
+    #[error("event loop failed: {0}")]
     EventLoop(io::Error),
 }
 
-/// The program, from its command line to its exit code.
+/// Parses the command line, executes the command and returns the exit code.
 pub fn main() -> ExitCode {
     match run(cli::parser().run()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -74,15 +74,15 @@
         Command::Manage { address, call } => manage(address, &call),
         Command::Fleet {
             format,
-            what,
+            subcommand,
             address,
-        } => show_cluster(address, &what, format),
+        } => show_cluster(address, &subcommand, format),
         Command::Budgets {
             format,
-            what,
+            subcommand,
             address,
             change,
-        } => show_budgets(address, &what, change.as_deref(), format),
+        } => show_budgets(address, &subcommand, change.as_deref(), format),
         Command::Serve {
             config,
             operator,
@@ -98,7 +98,7 @@
     std::env::var(name).ok()
 }
 
-/// The configuration, with the cluster that the operator's file names.
+/// Loads the configuration, including the cluster that the operator's file defines.
 fn load_config(path: Option<&str>, operator_path: Option<&str>) -> Result<Config, ProgramError> {
     let mut config = Config::load(path, environment_variable)?;
     let Some(path) = operator_path else {
@@ -122,9 +122,7 @@
         config.listen_address,
         config.classes.len()
     );
-    println!(
-        "it holds for a start and, as far as it does not depend on the file before, for SIGHUP"
-    );
+    println!("valid for a start, and for SIGHUP if it lacks no key of the file in use");
     Ok(())
 }
 
@@ -136,7 +134,7 @@
 }
 
 fn logger(verbose: bool) -> Logger {
-    // A line goes out in one piece: two processes of one node may write to the same place.
+    // Buffered, so that each line is written in one piece: two processes of one node may write to the same output.
     let decorator = slog_term::PlainDecorator::new(io::BufWriter::new(io::stderr()));
     let format = slog_term::FullFormat::new(decorator)
         .use_custom_timestamp(slog_term::timestamp_utc)
@@ -153,7 +151,7 @@
     admin::ask(address, call).map_err(|source| ProgramError::AdminCall { address, source })
 }
 
-/// Makes an admin call that answers with JSON, and gives that.
+/// Makes an admin call and returns the JSON of its answer.
 fn query_admin(address: SocketAddr, call: &str) -> Result<String, ProgramError> {
     let answer = call_admin(address, call)?;
     match answer
@@ -175,11 +173,15 @@
     }
 }
 
-fn show_cluster(address: SocketAddr, what: &str, format: OutputFormat) -> Result<(), ProgramError> {
-    let json = query_admin(address, &format!("fleet {what}"))?;
+fn show_cluster(
+    address: SocketAddr,
+    subcommand: &str,
+    format: OutputFormat,
+) -> Result<(), ProgramError> {
+    let json = query_admin(address, &format!("fleet {subcommand}"))?;
     let text = match format {
         OutputFormat::Json => json,
-        OutputFormat::Table => admin::status_table::cluster_table(what, &json)?,
+        OutputFormat::Table => admin::status_table::cluster_table(subcommand, &json)?,
     };
     println!("{text}");
     Ok(())
@@ -187,11 +189,11 @@
 
 fn show_budgets(
     address: SocketAddr,
-    what: &str,
+    subcommand: &str,
     change: Option<&str>,
     format: OutputFormat,
 ) -> Result<(), ProgramError> {
-    let call = format!("budgets {what} {}", change.unwrap_or_default());
+    let call = format!("budgets {subcommand} {}", change.unwrap_or_default());
     let json = query_admin(address, &call)?;
     let text = match format {
         OutputFormat::Json => json,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,4 +1,4 @@
-//! Sets the node up: the components that its event loop begins with.
+//! Sets up the node: its event loop with the initial components.
 
 use crate::application::schedule_unanswered_lines_check;
 use crate::client::Listener;
@@ -14,12 +14,12 @@
 use std::io;
 use std::net::TcpListener;
 
-/// The event loop with all components, ready to run.
+/// Creates the event loop with all components, ready to run.
 ///
 /// # Errors
-/// Where an address cannot be bound, the cluster's folder cannot be used, or the operating system lacks a descriptor.
+/// If an address cannot be bound, the cluster's state directory cannot be used, or the process is out of descriptors.
 pub(crate) fn start(config: Config, log: Logger) -> io::Result<Reactor<NodeState>> {
-    // Before anything else is opened, which could get the number of a descriptor that is not there.
+    // Must precede all other opens: if the inherited descriptor does not exist, another open could get its number.
     let inherited = config
         .inherited_descriptor
         .map(|descriptor| handoff::inherited_listener(descriptor, config.listen_address))
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -17,20 +17,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The component's socket for SIGTERM and SIGINT. A byte from a pipe does not tell which signal it stands for, so each
-/// purpose has a pipe of its own.
+/// The component's socket for SIGTERM and SIGINT. A byte from a pipe does not identify the signal, so each purpose has
+/// its own pipe.
 const TERMINATION_SOCKET: usize = 0;
 /// The component's socket for SIGHUP.
 const RELOAD_SOCKET: usize = 1;
 
-/// Signals of one purpose: the flag says whether one has come, the pipe wakes the event loop.
+/// The signals of one purpose: the flag is set when one is received, and the pipe wakes the event loop.
 struct SignalSource {
     is_pending: Arc<AtomicBool>,
     pipe: Registered<UnixStream>,
 }
 
 impl SignalSource {
-    /// Installs the handlers of these signals.
+    /// Installs the handlers of `signals`.
     fn new(context: &NodeContext, signals: &[i32], socket: usize) -> io::Result<SignalSource> {
         let (receiver, sender) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
@@ -46,7 +46,7 @@
         Ok(SignalSource { is_pending, pipe })
     }
 
-    /// Whether a signal has come since the last call.
+    /// Returns true if a signal has been received since the last call.
     fn take_pending(&self) -> bool {
         self.is_pending.swap(false, Ordering::AcqRel)
     }
@@ -67,7 +67,7 @@
     /// Installs the handlers of SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// Where the operating system has no descriptor for a pipe, or the handler cannot be installed.
+    /// If no descriptor is available for a pipe, or a handler cannot be installed.
     pub(crate) fn new(context: &NodeContext) -> io::Result<SignalReceiver> {
         Ok(SignalReceiver {
             termination: SignalSource::new(context, &[SIGTERM, SIGINT], TERMINATION_SOCKET)?,
@@ -75,7 +75,8 @@
         })
     }
 
-    /// Handles the signals that have come. A configuration that came before SIGTERM counts for the shutdown.
+    /// Handles pending signals. SIGHUP is handled first, so that a configuration replaced before SIGTERM applies to the
+    /// shutdown.
     fn handle_signals(&self, context: &mut NodeContext) {
         if self.reload.take_pending() {
             reload_configuration(context);
@@ -86,23 +87,24 @@
     }
 }
 
-/// Reads the configuration again and follows discovery to another address. One that does not hold changes nothing: guards
-/// against a file that is wrong, or half written, on a node that serves.
+/// Reloads the configuration, and connects to the new discovery address if it has changed. An invalid file, such as one
+/// that is only partly written, changes nothing, so that the node keeps serving.
 fn reload_configuration(context: &mut NodeContext) {
-    let fresh = match context.config.reread(|name| std::env::var(name).ok()) {
-        Ok(fresh) => fresh,
+    let new_config = match context.config.reread(|name| std::env::var(name).ok()) {
+        Ok(new_config) => new_config,
         Err(error) => {
             return warn!(context.log, "configuration rejected"; "error" => error.to_string());
         }
     };
-    let has_discovery_moved = fresh.discovery_address != context.config.discovery_address;
-    let outcome = context.config.apply(fresh);
+    let has_discovery_address_changed =
+        new_config.discovery_address != context.config.discovery_address;
+    let outcome = context.config.apply(new_config);
     let NodeState {
         placement, config, ..
     } = &mut context.application;
     placement.apply_settings(config, outcome.previous_class_positions);
     log_reload(context, &outcome.pending_restart);
-    if has_discovery_moved {
+    if has_discovery_address_changed {
         context.send(
             WellKnownComponent::Discovery.id(),
             DiscoveryCommand::AddressChanged,
@@ -144,7 +146,8 @@
         Lifecycle::Continue
     }
 
-    /// Whoever writes to the pipe is a signal handler: a write that fails is not made again, and wakes nobody.
+    /// A signal handler does not retry a failed write to the pipe, so the event loop may not be woken; the periodic
+    /// check handles such signals.
     fn on_message(&mut self, context: &mut NodeContext, message: Message) -> Lifecycle {
         if let Message::Signals(SignalCommand::Check) = message {
             self.handle_signals(context);
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -13,70 +13,70 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// New connections keep arriving for up to 0.4 s after SIGTERM: the listener stays at least this long.
+/// New connections arrive for up to 0.4 s after SIGTERM, so the listener stays open for at least this long.
 const MIN_LISTEN_AFTER_SIGTERM: Duration = Duration::from_millis(800);
 
-/// A graceful shutdown under way.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Shutdown {
-    /// When SIGTERM came.
+    /// The time at which SIGTERM was received.
     pub(crate) started_at: Instant,
-    /// When the process exits at the latest.
+    /// The time by which the process is to exit.
     pub(crate) deadline: Instant,
-    /// The last step was made: nothing is left to be answered but what waits to be accepted.
-    pub(crate) has_ended: bool,
+    /// Whether the last step is done: only connections in the accept queue are still to be answered.
+    pub(crate) is_last_step_done: bool,
 }
 
-/// Why clients cannot be served.
+/// The reason why clients cannot be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum NotServingError {
-    /// SIGTERM has come.
+    /// SIGTERM was received.
     #[error("this process is ending")]
     ShuttingDown,
-    /// Another process of this node may still hold connections, and has not been reached.
+    /// Another process of this node may still have connections, and has not been reached.
     #[error("the process before this one has not been reached yet")]
     PredecessorNotReached,
-    /// The endpoint list lets no client in.
+    /// The endpoint list has not been received, or contains no ready server.
     #[error(transparent)]
     EndpointList(#[from] EndpointAvailabilityError),
 }
 
-/// What the callbacks of the node's components may use.
+/// The context that is passed to callbacks of the node's components.
 pub(crate) type NodeContext = Context<NodeState>;
 
-/// The state of the node. Each field is changed by the module that its type comes from.
+/// The state of the node. Each field is modified only by the module that defines its type.
 pub(crate) struct NodeState {
-    /// The placement decisions and the active requests.
+    /// The placement module and the active requests.
     pub(crate) placement: PlacementDriver,
     /// The configuration in use.
     pub(crate) config: Config,
-    /// Where log lines go.
+    /// The logger.
     pub(crate) log: Logger,
-    /// Clients with a request; each may need a second descriptor for its server.
+    /// The number of clients with a request; each may need a second descriptor, for its server.
     pub(crate) client_count: Rc<Cell<usize>>,
-    /// Clients without a request, or with their answer.
+    /// Client connections that have not sent a request yet or have received their answer.
     pub(crate) unidentified_clients: UnidentifiedClients,
-    /// When this process began.
+    /// The time at which this process started.
     pub(crate) started_at: Instant,
-    /// The graceful shutdown, once SIGTERM has come.
+    /// The graceful shutdown, after SIGTERM.
     pub(crate) shutdown: Option<Shutdown>,
-    /// The other process of this node, if there is one.
+    /// The handoff with the other process of this node, if there is one.
     pub(crate) handoff: HandoffState,
-    /// The open connections for health checks: one for each server at the most.
+    /// The open health check connections: at most one for each server.
     pub(crate) health_checks: HealthChecks,
-    /// The node's part in its cluster, once it has started; taken out while it works.
+    /// The cluster agent, after its start; `None` while one of its callbacks runs.
     pub(crate) cluster_agent: Option<Box<ClusterAgent>>,
-    /// Set until the present callback ends: all connections are to be transferred to the successor.
+    /// Requests the transfer of all connections to the successor after the current callback.
     pub(crate) transfer_requested: bool,
-    /// Accepting clients has failed for a moment and is tried again: connections may wait in the kernel's queue, and the
-    /// process must not exit over them.
+    /// Whether accepting clients has failed and will be retried: connections may wait in the kernel's accept queue, and
+    /// the process must not exit before they are answered.
     pub(crate) is_accept_retry_pending: bool,
-    /// Set until the present callback ends: these connections are to be answered, for the process exits.
+    /// Requests answers to the connections in this scope after the current callback, because the process exits.
     pub(crate) exit_answers_requested: Option<ExitScope>,
 }
 
 impl NodeState {
-    /// The state of a node that begins.
+    /// Creates the state of a starting node.
     pub(crate) fn new(config: Config, log: Logger) -> NodeState {
         NodeState {
             placement: PlacementDriver::new(&config, log.clone()),
@@ -95,10 +95,10 @@
         }
     }
 
-    /// Whether clients can be served now.
+    /// Checks that clients can be served.
     ///
     /// # Errors
-    /// Says what is missing.
+    /// The reason why clients cannot be served.
     pub(crate) fn check_serving(&self) -> Result<(), NotServingError> {
         if self.shutdown.is_some() {
             return Err(NotServingError::ShuttingDown);
@@ -110,20 +110,21 @@
         Ok(())
     }
 
-    /// Whether the process has accepted clients for long enough after SIGTERM.
+    /// Returns true if the process has accepted clients for long enough after SIGTERM.
     pub(crate) fn has_listened_long_enough(&self, shutdown: Shutdown, now: Instant) -> bool {
-        // With a successor the listener is not this process's any more.
+        // A successor accepts the clients instead.
         self.handoff.is_handing_over() || now >= shutdown.started_at + MIN_LISTEN_AFTER_SIGTERM
     }
 
-    /// Whether connections of clients are open or on their way to the successor.
+    /// Returns true if client connections are open or in transfer to the successor.
     pub(crate) fn has_connections(&self) -> bool {
         self.client_count.get() > 0
             || !self.unidentified_clients.is_empty()
             || !self.handoff.is_idle()
     }
 
-    /// Whether the cluster needs this node no more: it may need its vote to go on without it.
+    /// Returns true if the node has left the cluster or is in none. Until then, the other nodes may need its vote to
+    /// continue without it.
     pub(crate) fn has_left_cluster(&self) -> bool {
         self.cluster_agent
             .as_ref()
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,4 +1,4 @@
-//! The form of the operator's file: tables and keys with the places where their values stand.
+//! The form of the operator's file: tables and keys, with the positions of their values.
 
 use crate::{BudgetsConfig, FleetConfig, OperatorConfig, SlowStartBudgetConfig};
 use serde::Deserialize;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operator's configuration file: TOML that names the fleet and its budgets.
+//! The operator's configuration file: TOML that defines the fleet, a cluster of nodes, and its budgets.
 //!
-//! A node without the file runs on its own. Keys that the file does not name have the same effect as no file; wrong ones are
-//! errors that name line and key. `file` has the file's form, `validation` what it must fulfil, and the types here are what
-//! the rest of the program uses.
+//! A node without the file runs on its own. Absent tables have the same effect as no file; unknown keys and invalid
+//! values are errors that name line and key. `file` defines the file's form, `validation` checks its values, and the
+//! types here are those that the rest of the program uses.
 
 #![forbid(unsafe_code)]
 
@@ -20,7 +20,7 @@
 /// The contents of a valid operator's file.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// The fleet of which the node is a member. Without it, there is no communication between nodes and no shared budget.
+    /// The fleet of which the node is a member. Without it, nodes neither communicate nor share budgets.
     pub fleet: Option<FleetConfig>,
     /// Budgets that the fleet shares.
     pub budgets: BudgetsConfig,
@@ -33,34 +33,34 @@
     pub name: String,
     /// The names of all expected nodes, without repetition.
     pub nodes: Vec<String>,
-    /// Where this node listens for other nodes, by datagrams and connections. `RELAY_FLEET` takes precedence.
+    /// The address for datagrams and connections from other nodes. `RELAY_FLEET` takes precedence.
     pub listen: Option<SocketAddr>,
     /// The zone in which this node runs; empty if unknown. `RELAY_ZONE` takes precedence.
     pub zone: String,
     /// The region in which this node runs; empty if unknown.
     pub region: String,
-    /// Where the node stores its replicated log and vote, so that a restarted process continues as the same member.
+    /// The directory of the node's replicated log and vote, so that a restarted process continues as the same member.
     pub state_directory: Option<PathBuf>,
     /// Nodes that are contacted first, by name; at least one, all of them expected nodes.
     pub seeds: BTreeMap<String, SocketAddr>,
-    /// Where this node reaches others that cannot be reached at the address they announce, by that address.
+    /// The addresses to use for nodes that this node cannot reach at their announced address, by announced address.
     pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
 }
 
 /// Budgets that the fleet shares.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetsConfig {
-    /// New connections to servers that warm up.
+    /// The budget of new connections to servers in slow start.
     pub slow_start: Option<SlowStartBudgetConfig>,
 }
 
-/// The budget of new connections, per second, to servers that warm up.
+/// The budget of new connections per second to servers in slow start.
 #[derive(Clone, Debug)]
 pub struct SlowStartBudgetConfig {
     /// The budget of the whole fleet, 1 to 1,000,000.
     pub capacity: u32,
-    /// What each expected node may use without a lease. Set aside from the capacity, so at most the capacity divided by
-    /// the number of expected nodes.
+    /// The share of each expected node that needs no lease. It is reserved from the capacity, so it is at most the
+    /// capacity divided by the number of expected nodes.
     pub floor: u32,
 }
 
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -29,7 +29,7 @@
 #[case::empty_state_directory("listen", "folder = \"\"\nlisten", "line 4: fleet.folder: a path")]
 #[case::duplicate_node("\"n1\"]", "\"n0\"]", "line 3: fleet.nodes: a name")]
 #[case::invalid_toml("[fleet]", "[fleet", "line 1: ")]
-fn the_error_of_a_wrong_file_names_line_and_key(
+fn the_error_of_an_invalid_file_names_line_and_key(
     #[case] original: &str,
     #[case] replacement: &str,
     #[case] expected: &str,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_empty_file_names_no_fleet_and_a_budget_needs_one() {
+fn an_empty_file_defines_no_fleet_and_a_budget_requires_one() {
     assert!(OperatorConfig::parse("").unwrap().fleet.is_none());
     assert!(OperatorConfig::parse("[budgets.cold]\ncapacity = 3\n")
         .unwrap_err()
--- a/crates/operator-config/src/validation.rs
+++ b/crates/operator-config/src/validation.rs
@@ -1,4 +1,4 @@
-//! What the values of an operator's file must fulfil beyond their types.
+//! Validation of the values in an operator's file beyond their types.
 
 use crate::error::ConfigFault;
 use crate::file::{FleetTable, OperatorFile, SlowStartTable};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// A fault with the byte offset of the value that has it.
+/// A fault with the byte offset of the invalid value.
 pub(crate) struct LocatedFault {
     pub(crate) offset: usize,
     pub(crate) fault: ConfigFault,
--- a/crates/reactor/src/acceptor.rs
+++ b/crates/reactor/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! A listening socket whose connections are accepted and registered with the poller. What fails for a moment drops nobody:
-//! a connection that was accepted and not registered yet is kept.
+//! A listening socket whose connections are accepted and registered with the poller. A temporary failure drops no
+//! connection: one that was accepted but could not be registered is kept.
 
 use crate::poll::{Registered, RegistrationError};
 use crate::Interest;
@@ -8,18 +8,18 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Accepts connections.
+/// Accepts connections and registers them.
 pub struct Acceptor {
     listener: Registered<TcpListener>,
-    /// Accepted, and not registered yet: closing it would drop what the other end has sent.
+    /// A connection that is accepted but not registered yet: closing it would drop the data that the peer has sent.
     unregistered: Option<TcpStream>,
 }
 
 impl Acceptor {
-    /// Accepts from this listener, which is non-blocking, and reports under `key` what waits there.
+    /// Creates an acceptor for a non-blocking listener; waiting connections are reported under `key`.
     ///
     /// # Errors
-    /// Where the poller refuses the listener.
+    /// If the poller rejects the listener.
     pub fn new(poller: &Rc<Poller>, listener: TcpListener, key: usize) -> io::Result<Acceptor> {
         Ok(Acceptor {
             listener: Registered::new(poller, listener, key, Interest::READ)?,
@@ -27,25 +27,25 @@
         })
     }
 
-    /// Whether a connection is kept that was accepted and could not be registered.
+    /// Returns true if a connection is kept that was accepted but could not be registered.
     pub fn has_unregistered(&self) -> bool {
         self.unregistered.is_some()
     }
 
-    /// Sets whether connections that wait are reported.
+    /// Sets whether waiting connections are reported.
     ///
     /// # Errors
-    /// Where the poller refuses the change.
+    /// If the poller rejects the change.
     pub fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
         self.listener.set_interest(interest)
     }
 
-    /// The connection that is kept, or else the next one that waits, registered under `key` for reading; `None` if there
+    /// Returns the kept connection, or else the next waiting one, registered under `key` for reading; `None` if there
     /// is neither.
     ///
     /// # Errors
-    /// Where accepting or registering fails, most likely for want of descriptors or memory: worth another attempt a little
-    /// later.
+    /// If accepting or registering fails, most likely for lack of descriptors or memory: the caller should retry a
+    /// little later.
     pub fn accept(&mut self, key: usize) -> io::Result<Option<Registered<TcpStream>>> {
         let stream = match self.unregistered.take() {
             Some(stream) => stream,
@@ -54,7 +54,7 @@
                 None => return Ok(None),
             },
         };
-        // Only the latency suffers without it.
+        // An error can be ignored: it only affects latency.
         let _ = stream.set_nodelay(true);
         if let Err(error) = stream.set_nonblocking(true) {
             self.unregistered = Some(stream);
@@ -75,7 +75,7 @@
             match self.listener.accept() {
                 Ok((stream, _)) => return Ok(Some(stream)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                // The other end gave up while it waited to be accepted.
+                // The peer closed the connection while it waited to be accepted.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) => return Err(error),
             }
--- a/crates/reactor/src/deadlines.rs
+++ b/crates/reactor/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines of a program, in one sorted structure that the loop sweeps each turn.
+//! All deadlines of a program, in one sorted structure that the loop processes each turn.
 
 use crate::ComponentId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,14 +9,14 @@
 pub struct Deadline<K> {
     /// The component that set it.
     pub owner: ComponentId,
-    /// What it is for.
+    /// The purpose of the deadline.
     pub kind: K,
 }
 
-/// A deadline that is set. Deadlines fire in this order.
+/// A pending deadline. Deadlines fire in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledDeadline<K> {
-    at: Instant,
+    due_at: Instant,
     owner: ComponentId,
     kind: K,
 }
@@ -37,11 +37,15 @@
 }
 
 impl<K: Copy + Ord> Deadlines<K> {
-    /// Sets the owner's deadline of a kind, in place of an earlier one of that kind.
-    pub fn set(&mut self, owner: ComponentId, kind: K, at: Instant) {
+    /// Sets the owner's deadline of this kind, which replaces an earlier one of the same kind.
+    pub fn set(&mut self, owner: ComponentId, kind: K, due_at: Instant) {
         self.clear(owner, kind);
-        self.by_owner.entry(owner).or_default().insert(kind, at);
-        self.by_time.insert(ScheduledDeadline { at, owner, kind });
+        self.by_owner.entry(owner).or_default().insert(kind, due_at);
+        self.by_time.insert(ScheduledDeadline {
+            due_at,
+            owner,
+            kind,
+        });
     }
 
     /// Clears one deadline, if it is set.
@@ -49,30 +53,42 @@
         let Some(kinds) = self.by_owner.get_mut(&owner) else {
             return;
         };
-        if let Some(at) = kinds.remove(&kind) {
-            self.by_time.remove(&ScheduledDeadline { at, owner, kind });
+        if let Some(due_at) = kinds.remove(&kind) {
+            self.by_time.remove(&ScheduledDeadline {
+                due_at,
+                owner,
+                kind,
+            });
         }
         if kinds.is_empty() {
             self.by_owner.remove(&owner);
         }
     }
 
-    /// Clears all deadlines of an owner: guards against deadlines that outlive their components.
+    /// Clears all deadlines of an owner, so that no deadline outlives its component.
     pub fn clear_all(&mut self, owner: ComponentId) {
-        for (kind, at) in self.by_owner.remove(&owner).unwrap_or_default() {
-            self.by_time.remove(&ScheduledDeadline { at, owner, kind });
+        for (kind, due_at) in self.by_owner.remove(&owner).unwrap_or_default() {
+            self.by_time.remove(&ScheduledDeadline {
+                due_at,
+                owner,
+                kind,
+            });
         }
     }
 
-    /// The instant at which the earliest deadline passes.
+    /// Returns the instant of the earliest deadline.
     pub fn next(&self) -> Option<Instant> {
-        self.by_time.first().map(|deadline| deadline.at)
+        self.by_time.first().map(|deadline| deadline.due_at)
     }
 
-    /// Removes and gives the earliest deadline that has passed at `now`.
+    /// Removes and returns the earliest deadline that has passed at `now`.
     pub fn pop_due(&mut self, now: Instant) -> Option<Deadline<K>> {
-        let ScheduledDeadline { at, owner, kind } = *self.by_time.first()?;
-        if at > now {
+        let ScheduledDeadline {
+            due_at,
+            owner,
+            kind,
+        } = *self.by_time.first()?;
+        if due_at > now {
             return None;
         }
         self.clear(owner, kind);
--- a/crates/reactor/src/event_loop.rs
+++ b/crates/reactor/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The turns of the loop: wait, call back what is ready or due, deliver messages.
+//! The event loop: each turn waits, calls the components that are ready or due, and delivers messages.
 
 use crate::deadlines::Deadlines;
 use crate::{
@@ -11,27 +11,27 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The event loop with all of its components.
+/// The event loop with its components.
 pub struct Reactor<A: Application> {
-    /// What callbacks may use; public for setting a program up.
+    /// The context of callbacks; public so that a program can register its initial components.
     pub context: Context<A>,
     components: HashMap<ComponentId, Box<dyn Connection<A>>>,
     events: Events,
 }
 
 impl<A: Application> Reactor<A> {
-    /// A loop without components. Ids up to `reserved` are never allocated: the program assigns them itself.
+    /// Creates a loop without components. Ids up to `last_reserved_id` are never allocated: the program assigns them.
     ///
     /// # Errors
-    /// Where the operating system gives no poller.
-    pub fn new(application: A, reserved: ComponentId) -> io::Result<Reactor<A>> {
+    /// If the poller cannot be created.
+    pub fn new(application: A, last_reserved_id: ComponentId) -> io::Result<Reactor<A>> {
         let context = Context {
             poller: Rc::new(Poller::new()?),
             deadlines: Deadlines::default(),
             application,
             outbox: VecDeque::new(),
-            registered: Vec::new(),
-            last_id: reserved,
+            new_components: Vec::new(),
+            last_id: last_reserved_id,
         };
         Ok(Reactor {
             context,
@@ -43,7 +43,7 @@
     /// Runs until the application is finished.
     ///
     /// # Errors
-    /// Where waiting for events fails for another reason than an interrupting signal.
+    /// If waiting for events fails, except when a signal interrupts it.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             self.deliver_messages();
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Waits once, and calls back all that is ready or due.
+    /// Waits once, and calls the components that are ready or due.
     fn run_turn(&mut self) -> io::Result<()> {
         let timeout = self
             .context
             .deadlines
             .next()
-            .map(|at| at.saturating_duration_since(Instant::now()));
+            .map(|due_at| due_at.saturating_duration_since(Instant::now()));
         let mut events = std::mem::take(&mut self.events);
         events.clear();
         match self.context.poller.wait(&mut events, timeout) {
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Calls back the owners of ready sockets, those with priority first.
+    /// Calls the owners of ready sockets, those with priority first.
     fn dispatch_events(&mut self, events: &Events) {
         for with_priority in [true, false] {
             for event in events.iter() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Calls back the owners of all deadlines that have passed.
+    /// Calls the owners of all deadlines that have passed.
     fn fire_deadlines(&mut self) {
         let now = Instant::now();
         while let Some(deadline) = self.context.deadlines.pop_due(now) {
@@ -112,10 +112,10 @@
         }
     }
 
-    /// Delivers messages and lets the application carry out its decisions, until nothing is left of either.
+    /// Delivers messages and lets the application execute its decisions, until none of either are pending.
     fn deliver_messages(&mut self) {
         loop {
-            for registration in self.context.registered.drain(..) {
+            for registration in self.context.new_components.drain(..) {
                 self.components
                     .insert(registration.id, registration.component);
             }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Calls a component back, and drops it where it closes.
+    /// Calls a component, and drops it if it closes.
     fn call(
         &mut self,
         id: ComponentId,
--- a/crates/reactor/src/interrupted.rs
+++ b/crates/reactor/src/interrupted.rs
@@ -1,11 +1,11 @@
-//! Calls that a signal interrupts before they have done anything.
+//! Retry of system calls that a signal interrupts before they have any effect.
 
 use std::io;
 
-/// Makes a call again for as long as it returns that a signal has interrupted it (`EINTR`).
+/// Retries a call for as long as a signal interrupts it (`EINTR`).
 ///
 /// # Errors
-/// The call's own, any other than [`io::ErrorKind::Interrupted`].
+/// Those of the call, except for [`io::ErrorKind::Interrupted`].
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
--- a/crates/reactor/src/interrupted/tests.rs
+++ b/crates/reactor/src/interrupted/tests.rs
@@ -2,7 +2,7 @@
 use std::io;
 
 #[test]
-fn an_interrupted_call_is_made_again() {
+fn an_interrupted_call_is_retried() {
     let mut results = vec![Ok(7), Err(interrupted()), Err(interrupted())];
     assert_eq!(retry_interrupted(|| results.pop().unwrap()).unwrap(), 7);
     assert!(results.is_empty());
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -19,21 +19,21 @@
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
 
-/// Names a component of the loop. Ids are never reused within a process.
+/// The id of a component. Ids are never reused within a process.
 pub type ComponentId = u64;
 
 /// The owner of deadlines that belong to the application and to no component.
 pub const APPLICATION: ComponentId = 0;
 
-/// How many sockets a component may register.
+/// The maximum number of sockets of a component.
 const SOCKETS_PER_COMPONENT: usize = 2;
 
-/// The poller's key for one of a component's two sockets (`socket` is 0 or 1).
+/// Returns the poller's key for one of a component's two sockets (`socket` is 0 or 1).
 pub fn poller_key(id: ComponentId, socket: usize) -> usize {
     id as usize * SOCKETS_PER_COMPONENT + socket
 }
 
-/// The component and its socket that a poller's key stands for.
+/// Returns the component and its socket for a poller's key.
 fn component_of(key: usize) -> (ComponentId, usize) {
     (
         (key / SOCKETS_PER_COMPONENT) as ComponentId,
@@ -41,21 +41,21 @@
     )
 }
 
-/// Whether a component lives on after a callback.
+/// The fate of a component after a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It stays registered.
+    /// The component stays registered.
     Continue,
-    /// It is dropped, and its sockets and deadlines with it.
+    /// The component is dropped, with its sockets and deadlines.
     Close,
 }
 
-/// Which events a socket is registered for.
+/// The events that a socket is registered for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
     /// Readable data, or the end of the stream.
     pub readable: bool,
-    /// Room for data to be written, or the outcome of a connect.
+    /// Room to write, or the outcome of a connect.
     pub writable: bool,
 }
 
@@ -82,39 +82,39 @@
     };
 }
 
-/// Which events a socket reported.
+/// The events that a socket reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readiness {
     /// Data can be read, or the stream has ended.
     pub readable: bool,
-    /// Data can be written, or a connect has ended.
+    /// Data can be written, or a connect has completed or failed.
     pub writable: bool,
 }
 
 /// The state that a program's components share, with the hooks that the loop calls between callbacks.
 pub trait Application: Sized {
-    /// What components send each other through [`Context::send`].
+    /// The messages that components send each other through [`Context::send`].
     type Message;
-    /// What a deadline is for. Deadlines of one owner that fall due at the same instant fire in this order.
+    /// The kind of a deadline. Deadlines of one owner that are due at the same instant fire in this order.
     type DeadlineKind: Copy + Ord;
 
-    /// Runs after each callback and each message, and carries out what was decided. `components` iterates over the ids of
-    /// all registered components, in no particular order.
+    /// Executes pending decisions after each callback and each message. `components` iterates over the ids of all
+    /// registered components, in no particular order.
     fn after_callback(
         context: &mut Context<Self>,
         components: &mut dyn Iterator<Item = ComponentId>,
     );
 
-    /// A deadline owned by [`APPLICATION`] has passed.
+    /// Called when a deadline owned by [`APPLICATION`] has passed.
     fn on_deadline(context: &mut Context<Self>, kind: Self::DeadlineKind);
 
-    /// Whether the loop ends here; asked once a turn.
+    /// Returns true if the loop is to end; called once per turn.
     fn is_finished(&self) -> bool;
 
-    /// A message was addressed to a component that has closed meanwhile. Dropping it releases what it holds.
+    /// Called with a message whose receiver has closed. Dropping the message releases its resources.
     fn on_undelivered(&mut self, id: ComponentId, message: Self::Message);
 
-    /// Whether events of this component are handled before those of others in the same turn.
+    /// Returns true if events of this component are handled before those of others in the same turn.
     fn has_priority(&self, _id: ComponentId) -> bool {
         false
     }
@@ -122,7 +122,7 @@
 
 /// A component of the loop: a connection, a listener, or another source of events.
 pub trait Connection<A: Application> {
-    /// The component's socket number `socket` (0 or 1) is ready.
+    /// Called when the component's socket number `socket` (0 or 1) is ready.
     fn on_ready(
         &mut self,
         context: &mut Context<A>,
@@ -130,26 +130,27 @@
         readiness: Readiness,
     ) -> Lifecycle;
 
-    /// One of the component's deadlines has passed.
+    /// Called when one of the component's deadlines has passed.
     fn on_deadline(&mut self, context: &mut Context<A>, kind: A::DeadlineKind) -> Lifecycle;
 
-    /// A message for this component.
+    /// Called with a message for this component.
     fn on_message(&mut self, context: &mut Context<A>, message: A::Message) -> Lifecycle;
 }
 
-/// A message on its way to a component.
+/// An undelivered message with its receiver.
 struct Envelope<M> {
     receiver: ComponentId,
     message: M,
 }
 
-/// A component that the loop takes over after the present callback.
+/// A new component, which the loop registers after the current callback.
 struct Registration<A: Application> {
     id: ComponentId,
     component: Box<dyn Connection<A>>,
 }
 
-/// What callbacks may use. It dereferences to the application, so its fields can be named directly.
+/// The context that is passed to callbacks. It dereferences to the application, so the application's fields can be
+/// accessed directly.
 pub struct Context<A: Application> {
     /// The poller that sockets are registered with.
     pub poller: Rc<Poller>,
@@ -158,23 +159,23 @@
     /// The state that components share.
     pub application: A,
     outbox: VecDeque<Envelope<A::Message>>,
-    registered: Vec<Registration<A>>,
+    new_components: Vec<Registration<A>>,
     last_id: ComponentId,
 }
 
 impl<A: Application> Context<A> {
-    /// An id for a new component, never given before.
+    /// Returns a new component id.
     pub fn allocate_id(&mut self) -> ComponentId {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Hands a new component to the loop.
+    /// Registers a new component with the loop after the current callback.
     pub fn register(&mut self, id: ComponentId, component: Box<dyn Connection<A>>) {
-        self.registered.push(Registration { id, component });
+        self.new_components.push(Registration { id, component });
     }
 
-    /// Sends a message to a component; it is delivered after the present callback.
+    /// Sends a message to a component; it is delivered after the current callback.
     pub fn send(&mut self, receiver: ComponentId, message: impl Into<A::Message>) {
         let message = message.into();
         self.outbox.push_back(Envelope { receiver, message });
--- a/crates/reactor/src/poll.rs
+++ b/crates/reactor/src/poll.rs
@@ -1,4 +1,4 @@
-//! The one place where sockets are registered with the poller.
+//! Registration of sockets with the poller; no other module does this.
 #![allow(unsafe_code)]
 
 use crate::interrupted::retry_interrupted;
@@ -18,28 +18,28 @@
     registration: Event,
 }
 
-/// A source that the poller did not take.
+/// The error of a failed registration, with the source.
 #[derive(Debug)]
 pub struct RegistrationError<S> {
-    /// The source, as it was.
+    /// The unregistered source.
     pub source: S,
-    /// Why it was not taken.
+    /// The poller's error.
     pub error: io::Error,
 }
 
 impl<S: AsFd> Registered<S> {
-    /// Registers the source under a key, level-triggered. A source that the poller refuses is closed.
+    /// Registers the source under a key, level-triggered. If registration fails, the source is closed.
     ///
     /// # Errors
-    /// Where the poller refuses the registration.
+    /// If the poller rejects the registration.
     pub fn new(poller: &Rc<Poller>, source: S, key: usize, interest: Interest) -> io::Result<Self> {
-        Registered::try_new(poller, source, key, interest).map_err(|refused| refused.error)
+        Registered::try_new(poller, source, key, interest).map_err(|rejected| rejected.error)
     }
 
-    /// Registers the source as [`Registered::new`], and gives it back where the poller refuses.
+    /// Like [`Registered::new`], but returns the source if registration fails.
     ///
     /// # Errors
-    /// Where the poller refuses the registration; the source comes back with the error.
+    /// If the poller rejects the registration; the error contains the source.
     pub fn try_new(
         poller: &Rc<Poller>,
         source: S,
@@ -48,7 +48,7 @@
     ) -> Result<Self, RegistrationError<S>> {
         let registration = Event::new(key, interest.readable, interest.writable);
         // SAFETY: the descriptor must stay open until it is deleted from the poller. `Registered` owns the source,
-        // gives it out by reference only, and deletes it in `drop`, before the source itself is closed.
+        // exposes it by reference only, and deletes it in `drop`, before the source itself is closed.
         let added = unsafe { poller.add_with_mode(&source.as_fd(), registration, PollMode::Level) };
         match added {
             Ok(()) => Ok(Registered {
@@ -60,15 +60,15 @@
         }
     }
 
-    /// The poller that the source is registered with.
+    /// Returns the poller that the source is registered with.
     pub fn poller(&self) -> &Rc<Poller> {
         &self.poller
     }
 
-    /// Changes which events are reported; a system call is made only if that differs from before.
+    /// Changes which events are reported; makes a system call only if `interest` differs from the current one.
     ///
     /// # Errors
-    /// Where the poller refuses the change.
+    /// If the poller rejects the change.
     pub fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
         self.modify(Event::new(
             self.registration.key,
@@ -77,10 +77,10 @@
         ))
     }
 
-    /// Reports under another key from now on.
+    /// Changes the key under which events are reported.
     ///
     /// # Errors
-    /// Where the poller refuses the change.
+    /// If the poller rejects the change.
     pub fn rekey(&mut self, key: usize) -> io::Result<()> {
         self.modify(Event::new(
             key,
@@ -99,12 +99,12 @@
     }
 }
 
-/// Reading and writing, which no signal interrupts. These methods go before those of the source.
+/// Reads and writes that are retried if a signal interrupts them. These methods shadow those of the source.
 impl<S: AsFd> Registered<S> {
-    /// Reads what is there into `buffer`, as [`Read::read`].
+    /// Reads available data into `buffer`, like [`Read::read`].
     ///
     /// # Errors
-    /// As the source's, but for [`io::ErrorKind::Interrupted`].
+    /// Those of the source, except for [`io::ErrorKind::Interrupted`].
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<usize>
     where
         for<'a> &'a S: Read,
@@ -112,10 +112,10 @@
         retry_interrupted(|| (&self.source).read(buffer))
     }
 
-    /// Writes as much of `bytes` as the source accepts, as [`Write::write`].
+    /// Writes as much of `bytes` as the source accepts, like [`Write::write`].
     ///
     /// # Errors
-    /// As the source's, but for [`io::ErrorKind::Interrupted`].
+    /// Those of the source, except for [`io::ErrorKind::Interrupted`].
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize>
     where
         for<'a> &'a S: Write,
@@ -125,65 +125,64 @@
 }
 
 impl Registered<TcpListener> {
-    /// Accepts the next connection, as [`TcpListener::accept`].
+    /// Accepts the next connection, like [`TcpListener::accept`].
     ///
     /// # Errors
-    /// As the listener's, but for [`io::ErrorKind::Interrupted`].
+    /// Those of the listener, except for [`io::ErrorKind::Interrupted`].
     pub fn accept(&self) -> io::Result<(TcpStream, SocketAddr)> {
         retry_interrupted(|| self.source.accept())
     }
 }
 
 impl Registered<Socket> {
-    /// Accepts the next connection, as [`Socket::accept`].
+    /// Accepts the next connection, like [`Socket::accept`].
     ///
     /// # Errors
-    /// As the socket's, but for [`io::ErrorKind::Interrupted`].
+    /// Those of the socket, except for [`io::ErrorKind::Interrupted`].
     pub fn accept(&self) -> io::Result<(Socket, SockAddr)> {
         retry_interrupted(|| self.source.accept())
     }
 }
 
 impl Registered<UdpSocket> {
-    /// Receives the next datagram, as [`UdpSocket::recv_from`].
+    /// Receives the next datagram, like [`UdpSocket::recv_from`].
     ///
     /// # Errors
-    /// As the socket's, but for [`io::ErrorKind::Interrupted`].
+    /// Those of the socket, except for [`io::ErrorKind::Interrupted`].
     pub fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         retry_interrupted(|| self.source.recv_from(buffer))
     }
 
-    /// Sends a datagram, as [`UdpSocket::send_to`].
+    /// Sends a datagram, like [`UdpSocket::send_to`].
     ///
     /// # Errors
-    /// As the socket's, but for [`io::ErrorKind::Interrupted`].
+    /// Those of the socket, except for [`io::ErrorKind::Interrupted`].
     pub fn send_to(&self, bytes: &[u8], address: SocketAddr) -> io::Result<usize> {
         retry_interrupted(|| self.source.send_to(bytes, address))
     }
 }
 
-/// How many connections may wait to be accepted.
+/// The maximum length of the accept queue.
 pub const LISTEN_BACKLOG: usize = 1024;
 
-/// EINPROGRESS, for which the standard library has no stable name.
+/// EINPROGRESS, which has no stable name in the standard library.
 const IN_PROGRESS: i32 = 115;
 
-/// The errors by which this machine refuses to connect anywhere, be it for want of resources or of a network: EPERM,
-/// EAGAIN, ENOMEM, EACCES, ENFILE, EMFILE, ENOSPC (no more registrations), EADDRNOTAVAIL, ENETDOWN, ENETUNREACH and
-/// ENOBUFS.
+/// The errors of a connect that fails locally, without resources or a network: EPERM, EAGAIN, ENOMEM, EACCES, ENFILE,
+/// EMFILE, ENOSPC (no more registrations), EADDRNOTAVAIL, ENETDOWN, ENETUNREACH and ENOBUFS.
 const LOCAL_FAILURE_ERRNOS: [i32; 11] = [1, 11, 12, 13, 23, 24, 28, 99, 100, 101, 105];
 
-/// Whether a connect that failed at once did so for a reason of this machine, which says nothing of the other end.
+/// Returns true if a connect that failed at once did so for a local reason, which is no evidence against the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     error
         .raw_os_error()
         .is_some_and(|code| LOCAL_FAILURE_ERRNOS.contains(&code))
 }
 
-/// Starts a non-blocking connect; once the socket is writable it is connected, or `take_error` says why not.
+/// Starts a non-blocking connect. When the socket becomes writable, it is connected or `take_error` returns the error.
 ///
 /// # Errors
-/// Where the connect fails at once.
+/// If the connect fails at once.
 pub fn connect(
     poller: &Rc<Poller>,
     address: SocketAddr,
@@ -199,17 +198,17 @@
     match socket.connect(&address.into()) {
         Ok(()) => {}
         Err(error) if error.raw_os_error() == Some(IN_PROGRESS) => {}
-        // It goes on in the background all the same.
+        // The interrupted connect continues in the background.
         Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
         Err(error) => return Err(error),
     }
     Registered::new(poller, TcpStream::from(socket), key, Interest::WRITE)
 }
 
-/// Listens on this address only, non-blocking.
+/// Creates a non-blocking listener on `address`.
 ///
 /// # Errors
-/// Where the address can not be bound.
+/// If the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -238,7 +237,7 @@
 
 impl<S: AsFd> Drop for Registered<S> {
     fn drop(&mut self) {
-        // Closing takes it out as well; nothing is left to do if the poller does not know it any more.
+        // An error can be ignored: the source may be deregistered already, and closing it deregisters it too.
         let _ = self.poller.delete(self.source.as_fd());
     }
 }
--- a/crates/reactor/src/poll/tests.rs
+++ b/crates/reactor/src/poll/tests.rs
@@ -4,7 +4,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The keys of the sockets that are ready, without waiting for long.
+/// Returns the keys of the sockets that are ready within 50 ms.
 fn ready_keys(poller: &Poller) -> Vec<usize> {
     let mut events = Events::new();
     poller
@@ -13,7 +13,7 @@
     events.iter().map(|event| event.key).collect()
 }
 
-/// A registered socket whose other end has written a byte; the other end stays open.
+/// Returns a registered socket whose other end has written a byte, and the other end, which stays open.
 fn readable_socket(poller: &Rc<Poller>, key: usize) -> (Registered<UnixStream>, UnixStream) {
     let (socket, mut other_end) = UnixStream::pair().unwrap();
     other_end.write_all(&[1]).unwrap();
@@ -45,14 +45,14 @@
 fn a_dropped_socket_is_not_reported() {
     let poller = Rc::new(Poller::new().unwrap());
     let (socket, _other_end) = readable_socket(&poller, 7);
-    // The duplicate keeps the socket open, so that closing it can't be what ends the reports.
+    // The duplicate keeps the socket open, so that only deregistration can end the reports.
     let _duplicate = socket.try_clone().unwrap();
     drop(socket);
     assert!(ready_keys(&poller).is_empty());
 }
 
 #[test]
-fn a_connect_ends_as_writable() {
+fn a_connected_socket_becomes_writable() {
     let poller = Rc::new(Poller::new().unwrap());
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_refused_connect_is_told_by_take_error() {
+fn take_error_returns_the_error_of_a_refused_connect() {
     let poller = Rc::new(Poller::new().unwrap());
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/reactor/src/unacknowledged.rs
+++ b/crates/reactor/src/unacknowledged.rs
@@ -1,4 +1,5 @@
-//! How many written bytes of a TCP connection the other side has not acknowledged, asked of the kernel over netlink.
+//! The number of written bytes of a TCP connection that the peer has not acknowledged, queried from the kernel over
+//! netlink.
 
 use crate::retry_interrupted;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -14,7 +15,7 @@
 const AF_INET: u8 = 2;
 const AF_INET6: u8 = 10;
 const IPPROTO_TCP: u8 = 6;
-/// Lengths of a message's header and of a whole request; the offset of the write queue's length in the response.
+/// The lengths of a message header, a request and a response; the offset of the write queue's length in the response.
 const HEADER_LENGTH: usize = 16;
 const REQUEST_LENGTH: usize = HEADER_LENGTH + 56;
 const MAX_RESPONSE_LENGTH: usize = 512;
@@ -34,9 +35,9 @@
     bytes.extend_from_slice(&(REQUEST_LENGTH as u32).to_ne_bytes());
     bytes.extend_from_slice(&SOCK_DIAG_BY_FAMILY.to_ne_bytes());
     bytes.extend_from_slice(&NLM_F_REQUEST.to_ne_bytes());
-    // Sequence number and port id: one request, one response.
+    // Sequence number and port id, unused for a single request and response.
     bytes.extend_from_slice(&[0; 8]);
-    // No extensions, in whatever state the connection is.
+    // No extensions, any connection state.
     bytes.extend_from_slice(&[
         if local.is_ipv4() { AF_INET } else { AF_INET6 },
         IPPROTO_TCP,
@@ -54,10 +55,10 @@
     bytes
 }
 
-/// The number of written bytes that the other side has not acknowledged yet.
+/// Returns the number of written bytes that the peer has not acknowledged yet.
 ///
 /// # Errors
-/// Where the kernel does not tell: the connection may have ended, or the request is not permitted here.
+/// If the kernel does not return the number: the connection may have ended, or the request may not be permitted.
 pub fn unacknowledged_bytes(stream: &TcpStream) -> io::Result<u32> {
     let local = stream.local_addr()?;
     let peer = stream.peer_addr()?;
@@ -66,7 +67,7 @@
         Type::RAW,
         Some(Protocol::from(NETLINK_SOCK_DIAG)),
     )?;
-    // The kernel responds within the send, so a read does not have to wait.
+    // The kernel queues its response within the send, so the read does not need to wait.
     netlink.set_nonblocking(true)?;
     let request = encode_request(local, peer);
     retry_interrupted(|| netlink.send(&request))?;
--- a/crates/reactor/tests/event_loop.rs
+++ b/crates/reactor/tests/event_loop.rs
@@ -1,4 +1,4 @@
-//! The order and the ends of callbacks, as a program sees them.
+//! The order of callbacks, and their end when a component closes.
 
 use lupincrank_reactor::poll::Registered;
 use lupincrank_reactor::{
@@ -9,12 +9,12 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-/// The ids up to this one are not allocated.
-const RESERVED: ComponentId = 10;
+/// Ids up to this one are not allocated.
+const LAST_RESERVED_ID: ComponentId = 10;
 /// The application's deadline that ends the loop.
 const FINISH: u8 = 255;
 
-/// What was called back.
+/// A recorded callback.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Callback {
     Ready(ComponentId),
@@ -63,7 +63,7 @@
     }
 }
 
-/// Records its callbacks, and closes when it is told to.
+/// A component that records its callbacks, and closes on [`Command::Close`].
 struct RecordedComponent {
     id: ComponentId,
     socket: Option<Registered<UnixStream>>,
@@ -98,7 +98,7 @@
 }
 
 fn reactor() -> Reactor<Recorder> {
-    Reactor::new(Recorder::default(), RESERVED).unwrap()
+    Reactor::new(Recorder::default(), LAST_RESERVED_ID).unwrap()
 }
 
 fn add_component(context: &mut Context<Recorder>) -> ComponentId {
@@ -107,7 +107,7 @@
     id
 }
 
-/// A component with a readable socket, and the socket's other end.
+/// Adds a component with a readable socket; returns its id and the socket's other end.
 fn add_readable_component(context: &mut Context<Recorder>) -> (ComponentId, UnixStream) {
     let id = context.allocate_id();
     let (socket, mut other_end) = UnixStream::pair().unwrap();
@@ -122,7 +122,7 @@
     (id, other_end)
 }
 
-/// Runs the loop for a short while and returns what was called back.
+/// Runs the loop for 60 ms and returns the recorded callbacks.
 fn run(mut reactor: Reactor<Recorder>) -> Vec<Callback> {
     let finish_at = Instant::now() + Duration::from_millis(60);
     let deadlines = &mut reactor.context.deadlines;
@@ -134,8 +134,8 @@
 #[test]
 fn allocated_ids_begin_after_the_reserved_ones() {
     let mut reactor = reactor();
-    assert_eq!(reactor.context.allocate_id(), RESERVED + 1);
-    assert_eq!(reactor.context.allocate_id(), RESERVED + 2);
+    assert_eq!(reactor.context.allocate_id(), LAST_RESERVED_ID + 1);
+    assert_eq!(reactor.context.allocate_id(), LAST_RESERVED_ID + 2);
 }
 
 #[test]
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_closed_component_gets_neither_messages_nor_deadlines() {
+fn a_closed_component_receives_neither_messages_nor_deadlines() {
     let mut reactor = reactor();
     let id = add_component(&mut reactor.context);
     let soon = Instant::now() + Duration::from_millis(5);
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,22 +1,22 @@
-//! The conversion of a deployment's settings into those of the balancer.
+//! The conversion of a deployment's settings into those of the placement module.
 
 use crate::deployment::{duration_from_ns, ClassSettings, DeploymentSettings};
 use crate::error::SettingsError;
 use lupincrank_placement::{Class, IdempotencyScope, RetrySafety, Settings, Tenant};
 use std::time::Duration;
 
-/// The name of the load report's field that holds the utilization.
+/// The name of the load report's field for the utilization.
 const UTILIZATION_FIELD: &str = "x0";
 
-/// The discovery mode in which endpoint changes come only to those who watch.
+/// The discovery mode in which only nodes that watch the endpoint list receive changes.
 const WATCH_MODE: &str = "subscribe";
 
 impl DeploymentSettings {
-    /// The settings of the balancer, with defaults for what is absent.
+    /// Returns the settings of the placement module, with defaults for absent values.
     ///
     /// # Errors
     ///
-    /// If the retry safety of a class or its idempotency scope is unknown.
+    /// If the retry safety or the idempotency scope of a class is unknown.
     pub fn placement_settings(&self) -> Result<Settings, SettingsError> {
         let limits = self.limits.clone().unwrap_or_default();
         let obligations = self.obligations.clone().unwrap_or_default();
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,9 +1,9 @@
-//! The settings object as it is written in JSON, and the parts of it that a node uses beside the balancer.
+//! The JSON form of the settings, and the settings that a node uses outside of the placement module.
 
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The settings of a deployment as a process is told them. Unknown keys are ignored, absent ones have defaults.
+/// The settings of a deployment as written in JSON. Unknown keys are ignored, absent ones have defaults.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(expecting = "struct Site")]
 pub struct DeploymentSettings {
@@ -57,21 +57,21 @@
     name: Option<String>,
 }
 
-/// What is particular to long-lived connections.
+/// Settings that are specific to long-lived connections.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(expecting = "struct FamilyInfo")]
 pub(crate) struct FamilySettings {
     #[serde(rename = "Groups")]
     has_groups: Option<bool>,
-    /// One for each class.
+    /// One per class.
     #[serde(rename = "MessageAimNs")]
     pub(crate) message_objectives_ns: Option<Vec<Option<u64>>>,
-    /// One for each tenant.
+    /// One per tenant.
     #[serde(rename = "TenantQuotaConnections")]
     pub(crate) tenant_connection_quotas: Option<Vec<Option<f64>>>,
 }
 
-/// Limits on what a node may do.
+/// Limits of a node's actions.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(expecting = "struct Limits")]
 pub(crate) struct LimitSettings {
@@ -89,7 +89,7 @@
     pub(crate) retry_after_allowed: Option<bool>,
 }
 
-/// What a node owes to servers that drain or warm up.
+/// A node's obligations to servers that drain or warm up.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(expecting = "struct Obligations")]
 pub(crate) struct ObligationSettings {
@@ -105,7 +105,7 @@
     pub(crate) overload_window_ns: Option<u64>,
 }
 
-/// What actions cost, in points of the result.
+/// The costs of actions, in points of the result.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(expecting = "struct Prices")]
 pub(crate) struct CostSettings {
@@ -113,7 +113,7 @@
     pub(crate) health_check: Option<f64>,
 }
 
-/// The value of `Report.How` by which answers to requests carry reports too.
+/// The value of `Report.How` with which answers to requests also contain load reports.
 const CARRIED_BY_ANSWERS: &str = "inline";
 
 /// The form of servers' load reports.
@@ -122,25 +122,25 @@
 pub(crate) struct LoadReportSettings {
     #[serde(rename = "Fields")]
     pub(crate) fields: Option<Vec<Option<String>>>,
-    /// Which messages carry a report.
+    /// The messages that contain a report.
     #[serde(rename = "How")]
     pub(crate) carried_by: Option<String>,
 }
 
-/// A duration written as whole nanoseconds; zero if it is absent.
+/// Converts nanoseconds to a duration; zero if absent.
 pub(crate) fn duration_from_ns(nanoseconds: Option<u64>) -> Duration {
     Duration::from_nanos(nanoseconds.unwrap_or(0))
 }
 
 impl DeploymentSettings {
-    /// The names of the request classes, in the order of their indices.
+    /// Returns the names of the request classes, by index.
     pub fn class_names(&self) -> Vec<&str> {
         self.classes()
             .map(|class| class.name.as_deref().unwrap_or(""))
             .collect()
     }
 
-    /// The longest time for which a client of any class waits, over all attempts.
+    /// Returns the longest deadline of any class: the time for which a client waits, over all attempts.
     pub fn max_deadline(&self) -> Duration {
         self.classes()
             .map(|class| duration_from_ns(class.deadline_ns))
@@ -148,12 +148,12 @@
             .unwrap_or_default()
     }
 
-    /// The names of the zones, in the order of their indices.
+    /// Returns the names of the zones, by index.
     pub fn zones(&self) -> &[String] {
         self.zones.as_deref().unwrap_or_default()
     }
 
-    /// The names of the tenants, in the order of their indices; empty for a tenant without a name.
+    /// Returns the names of the tenants, by index; empty for a tenant without a name.
     pub fn tenant_names(&self) -> Vec<String> {
         self.tenants
             .iter()
@@ -163,7 +163,7 @@
             .collect()
     }
 
-    /// The names of the fields of a load report, in their order; empty for a field without a name.
+    /// Returns the names of the fields of a load report, by index; empty for a field without a name.
     pub fn report_fields(&self) -> Vec<String> {
         let fields = self
             .load_report
@@ -176,8 +176,8 @@
             .collect()
     }
 
-    /// The names of the fields of the load report that an answer to a request may close with; empty where only health checks
-    /// are answered with reports, or nothing is.
+    /// Returns the names of the fields of the load report at the end of an answer to a request; empty if at most the
+    /// answers to health checks contain reports.
     pub fn answer_report_fields(&self) -> Vec<String> {
         let carried_by = self
             .load_report
@@ -190,12 +190,12 @@
         }
     }
 
-    /// The names of the machine kinds, in the order of their indices.
+    /// Returns the names of the machine kinds, by index.
     pub fn machine_kinds(&self) -> &[String] {
         self.machine_kinds.as_deref().unwrap_or_default()
     }
 
-    /// Whether connections belong to groups whose members share work on a server.
+    /// Returns true if connections belong to groups whose members share work on a server.
     pub fn has_groups(&self) -> bool {
         self.family
             .as_ref()
@@ -203,7 +203,7 @@
             .unwrap_or(false)
     }
 
-    /// How long it may take to establish a connection before the attempt counts as failed; `None` if it is not limited.
+    /// Returns the time after which an attempt without a connection counts as failed; `None` if unlimited.
     pub fn connect_timeout(&self) -> Option<Duration> {
         let nanoseconds = self
             .limits
@@ -214,7 +214,7 @@
             .map(Duration::from_nanos)
     }
 
-    /// The request classes, in the order of their indices.
+    /// Returns the request classes, by index.
     pub(crate) fn classes(&self) -> impl Iterator<Item = &ClassSettings> {
         self.classes.iter().flatten()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of a deployment: the JSON object that the simulator's first message and a node's configuration file share.
+//! The settings of a deployment: a JSON object in the simulator's first message and in a node's configuration file.
 //!
-//! [`DeploymentSettings`] is that object as it is written; [`DeploymentSettings::placement_settings`] converts it for the
-//! balancer. [`validate`] is the strict check for a configuration file that replaces another at run time.
+//! [`DeploymentSettings`] is the form of that object; [`DeploymentSettings::placement_settings`] converts it for the
+//! placement module. [`validate`] strictly checks a configuration file that replaces another at run time.
 
 #![forbid(unsafe_code)]
 
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,12 +1,12 @@
-//! The strict check of a configuration file that is to replace another while the node serves.
+//! The strict validation of a configuration file that replaces another while the node serves.
 //!
-//! At a start, absent values have defaults. At run time an absent value is an error, because a file that was truncated or
-//! written by mistake must change nothing.
+//! At a start, absent values have defaults. At run time, an absent value is an error, because a file that was truncated
+//! or written by mistake must change nothing.
 
 use crate::error::ValidationError;
 use serde_json::{Map, Value};
 
-/// Keys below `settings` that every file must have. Others may be absent only where the replaced file lacks them too.
+/// Keys below `settings` that every file must have. Others may be absent only if the replaced file lacks them too.
 const REQUIRED_SETTINGS: [&str; 15] = [
     "Instances",
     "Categories",
@@ -28,7 +28,7 @@
 /// Keys that every class must have.
 const REQUIRED_CLASS_SETTINGS: [&str; 4] = ["Name", "DeadlineNs", "PromiseNs", "Repeat"];
 
-/// Keys that a class with idempotency keys must have besides.
+/// Additional keys that a class with idempotency keys must have.
 const REQUIRED_IDEMPOTENCY_SETTINGS: [&str; 2] = ["Group", "WindowNs"];
 
 /// The longest deadline, a year in nanoseconds.
@@ -37,12 +37,12 @@
 /// The largest number of attempts for one request.
 const MAX_ATTEMPTS: u64 = 1_000_000;
 
-/// Checks a whole configuration file. `previous` is the file that it replaces, if there is one: its keys must all be in the
-/// new file, except for those within lists.
+/// Validates a whole configuration file. `previous` is the file that it replaces, if any: the new file must have all of
+/// its keys, except for those within lists.
 ///
 /// # Errors
 ///
-/// The first fault that is found.
+/// The first error that is found.
 pub fn validate(file: &Value, previous: Option<&Value>) -> Result<(), ValidationError> {
     let settings = &file["settings"];
     for path in REQUIRED_SETTINGS {
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// Checks one class and gives its name.
+/// Validates one class and returns its name.
 fn validate_class<'a>(path: &str, class: &'a Value) -> Result<&'a str, ValidationError> {
     let has_idempotency_keys = class["Repeat"] == "by_key";
     let idempotency_settings = REQUIRED_IDEMPOTENCY_SETTINGS
--- a/crates/settings/tests/document.rs
+++ b/crates/settings/tests/document.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings document, the values that they become, and the texts of errors.
+//! The keys of the settings document, the converted values, and the texts of errors.
 
 use lupincrank_placement::{Class, IdempotencyScope, RetrySafety, Settings, Tenant};
 use lupincrank_settings::{validate, DeploymentSettings};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn every_key_reaches_the_balancer() {
+fn every_key_is_converted() {
     let settings = parse(&document()).placement_settings().unwrap();
     let expected = Settings {
         node_count: 3,
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn names_and_timeouts_are_in_the_order_of_the_document() {
+fn names_keep_the_order_of_the_document() {
     let settings = parse(&document());
     assert_eq!(settings.class_names(), ["chat", "sync"]);
     assert_eq!(settings.tenant_names(), ["first", ""]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_type_is_named_by_the_part_of_the_document() {
+fn the_error_of_a_wrong_type_names_the_section_of_the_document() {
     let error = |document: Value| {
         let parsed: Result<DeploymentSettings, _> = serde_json::from_value(document);
         parsed.unwrap_err().to_string()
@@ -154,7 +154,7 @@
     );
 }
 
-/// The document with one change, checked in place of the document itself.
+/// Applies a change to the document and validates the result as its replacement.
 fn validate_changed(change: impl FnOnce(&mut Value)) -> Result<(), String> {
     let before = json!({"settings": document(), "limits": {"cores": 1}});
     let mut file = before.clone();
@@ -167,7 +167,7 @@
     assert_eq!(validate_changed(|_| ()), Ok(()));
 }
 
-/// A change that makes the document invalid, and the error that it must give.
+/// A change that makes the document invalid, and the expected error.
 struct Fault {
     introduce: fn(&mut Value),
     message: &'static str,
@@ -186,7 +186,7 @@
         },
         Fault {
             introduce: |file| file["settings"]["Categories"] = json!([]),
-            message: "settings.Categories names no class",
+            message: "settings.Categories contains no class",
         },
         Fault {
             introduce: |file| file["settings"]["Categories"][0]["WindowNs"] = Value::Null,
@@ -194,15 +194,15 @@
         },
         Fault {
             introduce: |file| file["settings"]["Categories"][1]["Name"] = json!(""),
-            message: "settings.Categories[1].Name is no name",
+            message: "settings.Categories[1].Name is empty or not a string",
         },
         Fault {
             introduce: |file| file["settings"]["Categories"][1]["Name"] = json!("chat"),
-            message: "settings.Categories[1].Name: there are two classes \"chat\"",
+            message: "settings.Categories[1].Name: duplicate class name \"chat\"",
         },
         Fault {
             introduce: |file| file["limits"] = json!({}),
-            message: "limits.cores is missing, and the present file has it",
+            message: "limits.cores is missing, but the file in use has it",
         },
     ];
     for Fault { introduce, message } in cases {
