--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -53,7 +53,7 @@
 /// A fault in an operator's file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigFault {
-    /// The text is not valid TOML, a key is unknown or absent, or a value has the wrong type: the parser's message.
+    /// The text is not valid TOML, a key is unknown or absent, or a value has the wrong type; with the parser's text.
     #[error("{0}")]
     Syntax(String),
     /// There is a slow-start budget, but no fleet.
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The whole file.
+/// The operator's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Operator")]
 pub(crate) struct OperatorFile {
@@ -44,7 +44,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Cold")]
 pub(crate) struct SlowStartTable {
-    /// `whole` is the key's former name.
+    /// `whole` is the key's deprecated name.
     #[serde(alias = "whole")]
     pub(crate) capacity: Spanned<u32>,
     #[serde(default = "no_floor")]
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -57,7 +57,7 @@
 /// The budget of new connections per second to servers in slow start.
 #[derive(Clone, Debug)]
 pub struct SlowStartBudgetConfig {
-    /// The budget of the whole fleet, 1 to 1,000,000.
+    /// The capacity that the fleet shares, 1 to 1,000,000.
     pub capacity: u32,
     /// The share of each expected node that needs no lease. It is reserved from the capacity, so it is at most the
     /// capacity divided by the number of expected nodes.
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,7 +1,7 @@
-//! The event loop of a program: it waits for sockets and deadlines and calls back the components that own them.
+//! The event loop of a program: it waits for sockets and deadlines, and calls the components that own them.
 //!
-//! A program implements [`Application`] for the state that all of its components share, and [`Connection`] for each kind
-//! of component. The loop ([`Reactor`]) owns the components and passes [`Context`] to every callback.
+//! A program implements [`Application`] for the state that all of its components share, and [`Connection`] for each
+//! kind of component. The loop ([`Reactor`]) owns the components and passes [`Context`] to every callback.
 
 pub mod acceptor;
 pub mod deadlines;
@@ -41,7 +41,7 @@
     )
 }
 
-/// The fate of a component after a callback.
+/// The result of a callback: whether the component stays registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     /// The component stays registered.
