--- a/crates/node/tests/common/address.rs
+++ b/crates/node/tests/common/address.rs
@@ -10,15 +10,15 @@
     listener
 }
 
-/// An address where the node can listen. The socket keeps others in this process from getting it: it is bound and does
-/// not listen.
+/// An address for the node to listen at. The socket is bound but does not listen; it keeps others in this process from
+/// getting the address.
 pub struct ReservedAddress {
     pub address: SocketAddr,
     pub socket: Socket,
 }
 
 impl ReservedAddress {
-    /// A free port.
+    /// Reserves a free port.
     pub fn any() -> ReservedAddress {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_reuse_address(true).unwrap();
@@ -29,7 +29,7 @@
         ReservedAddress { address, socket }
     }
 
-    /// This address; `None` while something else has it.
+    /// Reserves this address. Returns `None` while another socket uses it.
     pub fn at(address: SocketAddr) -> Option<ReservedAddress> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).ok()?;
         socket.set_reuse_address(true).ok()?;
@@ -37,7 +37,7 @@
         Some(ReservedAddress { address, socket })
     }
 
-    /// Listens on it.
+    /// Starts to listen at the address.
     pub fn listen(self) -> TcpListener {
         self.socket.listen(128).unwrap();
         self.socket.set_nonblocking(true).unwrap();
--- a/crates/node/tests/common/cluster.rs
+++ b/crates/node/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Several nodes that form a cluster, with folders that last.
+//! Several nodes that form a cluster and keep their files across restarts.
 
 use super::address::{listen, ReservedAddress};
 use super::node_process::{send_signal, spawn_with_operator_file};
@@ -40,7 +40,7 @@
 }
 
 impl Cluster {
-    /// A cluster of which no process runs yet.
+    /// Creates a cluster without starting its processes.
     pub fn new(node_count: usize) -> Cluster {
         let nodes: Vec<ClusterNode> = (0..node_count)
             .map(|number| ClusterNode {
@@ -66,7 +66,7 @@
         cluster
     }
 
-    /// The same with all processes running and a leader that all know.
+    /// Starts a cluster and waits until all nodes know its leader.
     pub fn start(node_count: usize) -> Cluster {
         let mut cluster = Cluster::new(node_count);
         for node in 0..node_count {
@@ -115,14 +115,14 @@
         std::fs::File::create(self.path(node, "log")).unwrap();
     }
 
-    /// Starts a node's process, in which calls may fail.
+    /// Starts a node's process, with optional system call faults.
     pub fn spawn(&mut self, node: usize, faults: Option<&SyscallFaults>) {
         let process =
             spawn_with_operator_file(&self.path(node, "json"), &self.path(node, "toml"), faults);
         self.nodes[node].process = Some(process);
     }
 
-    /// Kills a node's process.
+    /// Kills a node's process with SIGKILL.
     pub fn kill(&mut self, node: usize) {
         if let Some(mut process) = self.nodes[node].process.take() {
             send_signal(&process, "-KILL");
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Ends a node's process in good order.
+    /// Terminates a node's process with SIGTERM and waits for its exit.
     pub fn terminate(&mut self, node: usize) {
         if let Some(mut process) = self.nodes[node].process.take() {
             send_signal(&process, "-TERM");
@@ -138,7 +138,7 @@
         }
     }
 
-    /// What a node has logged.
+    /// The log of a node.
     pub fn log(&self, node: usize) -> String {
         std::fs::read_to_string(self.path(node, "log")).unwrap_or_default()
     }
@@ -148,13 +148,13 @@
         serde_json::from_str(answer.strip_prefix("done ")?).ok()
     }
 
-    /// The leader's name, as a node knows it.
+    /// The name of the leader that a node knows.
     pub fn leader(&self, node: usize) -> Option<String> {
         let status = self.query(node, "status")?;
         status["council"]["leader"].as_str().map(str::to_string)
     }
 
-    /// The names of the nodes that a node takes to be alive, itself included.
+    /// The names of the nodes that a node considers running, itself included.
     pub fn members(&self, node: usize) -> Vec<String> {
         let members = self.query(node, "members").unwrap_or_default();
         let names = members.as_array().into_iter().flatten();
@@ -163,26 +163,26 @@
             .collect()
     }
 
-    /// The log index that a node has applied.
+    /// The index of the last log entry that a node has applied.
     pub fn applied_index(&self, node: usize) -> u64 {
         let status = self.query(node, "status").unwrap_or_default();
         status["council"]["index"].as_u64().unwrap_or_default()
     }
 
-    /// Waits until these nodes know one leader, who is alive.
+    /// Waits until these nodes know the same leader and its process is running.
     pub fn wait_for_leader(&self, nodes: &[usize]) -> String {
         wait_until("a leader", || {
             let leader = self.leader(nodes[0])?;
             let number: usize = leader[1..].parse().unwrap();
-            let is_alive = self.nodes[number].process.is_some();
+            let is_running = self.nodes[number].process.is_some();
             let agree = nodes
                 .iter()
                 .all(|node| self.leader(*node).as_ref() == Some(&leader));
-            (is_alive && agree).then_some(leader)
+            (is_running && agree).then_some(leader)
         })
     }
 
-    /// Waits until a node takes so many nodes to be alive.
+    /// Waits until a node considers `count` nodes running.
     pub fn wait_for_member_count(&self, node: usize, count: usize) {
         wait_until("members", || {
             (self.members(node).len() == count).then_some(())
--- a/crates/node/tests/common/discovery.rs
+++ b/crates/node/tests/common/discovery.rs
@@ -8,13 +8,13 @@
 use std::io::Write;
 use std::time::SystemTime;
 
-/// The head of the answer to a watch, and its first chunk: a line feed.
+/// The response head of a watch and its first chunk, a line feed.
 const WATCH_ANSWER: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
 
 impl Rig {
-    /// Accepts the node's call; gives it with its request line.
+    /// Accepts the node's next discovery call; returns it and its request line.
     pub fn accept_discovery_call(&mut self) -> (LineStream, String) {
-        let mut call = wait_until("a call", || {
+        let mut call = wait_until("a discovery call", || {
             self.discovery
                 .accept()
                 .ok()
@@ -25,20 +25,20 @@
         (call, request)
     }
 
-    /// The watch falls silent; accepts the node's next call.
+    /// Sends a last heartbeat on the watch and accepts the call that the node makes after the silence.
     pub fn accept_discovery_call_after_silence(&mut self) -> (LineStream, String) {
         self.write_to_watch(b"\n", 1);
         self.accept_discovery_call()
     }
 
-    /// Opens the watch that the node asks for.
+    /// Accepts a call and opens the watch that it requests.
     pub fn accept_watch(&mut self) {
         let (mut call, _) = self.accept_discovery_call();
         call.send(WATCH_ANSWER);
         self.watch = Some(call);
     }
 
-    /// Opens the watch with a complete list. The service dates its answer if it has a clock.
+    /// Opens the watch with a complete list. The response has a `Date` header if `clock` is given.
     pub fn accept_watch_with_list(&mut self, list: &str, clock: Option<SystemTime>) {
         let (mut call, _) = self.accept_discovery_call();
         let date = clock.map_or_else(String::new, |now| {
@@ -51,7 +51,7 @@
         self.write_to_watch(format!("{list}\n").as_bytes(), list.len() + 1);
     }
 
-    /// Writes the state of one server on the watch.
+    /// Sends the health of one server on the watch.
     pub fn announce_health(&mut self, server: usize, health: &str, seq: u64) {
         let line = endpoint_list(&self.server_addresses[server..=server], health, seq, false)
             .replace("s-0", &format!("s-{server}"))
@@ -62,7 +62,7 @@
             .send(&format!("{:x}\r\n{line}\r\n", line.len()));
     }
 
-    /// Writes on the watch that a server has started at this moment of Unix time.
+    /// Sends the start of a server, at this Unix time, on the watch.
     pub fn announce_start(&mut self, server: usize, started_at_ms: u64, seq: u64) {
         let line = endpoint_list(
             &self.server_addresses[server..=server],
@@ -75,12 +75,12 @@
         self.write_to_watch(format!("{line}\n").as_bytes(), line.len() + 1);
     }
 
-    /// A list with the first servers in these states.
+    /// A list of the first servers, one for each of these health values.
     pub fn endpoint_list(&self, health: &[&str], seq: u64, whole: bool) -> serde_json::Value {
         endpoint_list_json(&self.server_addresses, health, seq, whole)
     }
 
-    /// Writes these bytes on the watch in chunks of this size, each sent before the next.
+    /// Writes bytes on the watch in chunks of `chunk_size`, each sent before the next.
     pub fn write_to_watch(&mut self, bytes: &[u8], chunk_size: usize) {
         let watch = self.watch.as_mut().unwrap();
         for chunk in bytes.chunks(chunk_size) {
@@ -93,20 +93,22 @@
         }
     }
 
-    /// Discovery ends: its watch breaks, and calls are refused. Its address stays reserved.
+    /// Stops discovery: its watch breaks, and calls are refused. Returns its address, which stays reserved.
     pub fn stop_discovery(&mut self) -> ReservedAddress {
         let address = self.discovery.local_addr().unwrap();
         self.watch = None;
         self.discovery = listen();
-        wait_until("its address is free", || ReservedAddress::at(address))
+        wait_until("the address of discovery is free", || {
+            ReservedAddress::at(address)
+        })
     }
 
-    /// It listens again where it did.
+    /// Restarts discovery at its reserved address.
     pub fn restart_discovery(&mut self, reserved: ReservedAddress) {
         self.discovery = reserved.listen();
     }
 
-    /// Lets discovery listen elsewhere and tells the node where.
+    /// Moves discovery to another address and reloads the node's configuration with it.
     pub fn move_discovery(&mut self) {
         self.discovery = listen();
         self.config["discovery"] = self.discovery.local_addr().unwrap().to_string().into();
--- a/crates/node/tests/common/echo_servers.rs
+++ b/crates/node/tests/common/echo_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that accept each request and return each line at once.
+//! Servers that accept each request and echo each line at once.
 
 use super::line_stream::LineStream;
 use super::rig::Rig;
@@ -8,20 +8,20 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How long a listener is left alone when nothing waits there.
+/// Pause after an accept that found no connection.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A first line, and the number of the server where it came.
+/// A first line and the server that received it.
 #[derive(Clone)]
 struct FirstLine {
     server: usize,
     text: String,
 }
 
-/// The first lines that came, in their order.
+/// The first lines received, in order of arrival.
 type FirstLines = Arc<Mutex<Vec<FirstLine>>>;
 
-/// The servers of a rig, played by threads until this is dropped.
+/// Threads that act as the servers of a rig until this value is dropped.
 pub struct EchoServers {
     first_lines: FirstLines,
     is_stopped: Arc<AtomicBool>,
@@ -29,7 +29,7 @@
 }
 
 impl EchoServers {
-    /// Plays all servers of the rig.
+    /// Starts threads for all servers of the rig.
     pub fn start(rig: &Rig) -> EchoServers {
         let first_lines = FirstLines::default();
         let is_stopped = Arc::new(AtomicBool::new(false));
@@ -53,14 +53,14 @@
         }
     }
 
-    /// The first lines that came so far.
+    /// The first lines received so far.
     pub fn first_lines(&self) -> Vec<String> {
         let lines = self.first_lines.lock().unwrap();
         lines.iter().map(|line| line.text.clone()).collect()
     }
 
-    /// How many first lines came at this server.
-    pub fn count_at(&self, server: usize) -> usize {
+    /// The number of first lines that this server has received.
+    pub fn first_line_count(&self, server: usize) -> usize {
         let lines = self.first_lines.lock().unwrap();
         lines.iter().filter(|line| line.server == server).count()
     }
@@ -97,7 +97,7 @@
     let Some(text) = connection.try_receive() else {
         return;
     };
-    // A health check, and further ones on the same connection.
+    // `STATS` is a health check.
     if text == "STATS" {
         return answer_health_checks(connection);
     }
--- a/crates/node/tests/common/endpoint_list.rs
+++ b/crates/node/tests/common/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// A list with all of these servers in one state. They are named `s-0`, `s-1` and so on.
+/// A list of these servers with the same health. They are named `s-0`, `s-1` and so on.
 pub fn endpoint_list(addresses: &[SocketAddr], health: &str, seq: u64, whole: bool) -> String {
     let entry = |(index, address): (usize, &SocketAddr)| {
         format!(
@@ -16,7 +16,7 @@
     )
 }
 
-/// A list with the first servers in these states.
+/// A list of the first servers, one for each of these health values.
 pub fn endpoint_list_json(
     addresses: &[SocketAddr],
     health: &[&str],
--- a/crates/node/tests/common/full_backlog.rs
+++ b/crates/node/tests/common/full_backlog.rs
@@ -34,7 +34,7 @@
         FullBacklog { listener, fillers }
     }
 
-    /// Lets connections be established again; gives the next one that is none of those that filled the backlog.
+    /// Lets connections be established again. Returns the next one apart from those that filled the backlog.
     pub fn release(self) -> LineStream {
         SockRef::from(&self.listener).listen(128).unwrap();
         let filler_addresses: Vec<_> = self
@@ -43,7 +43,7 @@
             .filter_map(|filler| filler.local_addr().ok()?.as_socket())
             .collect();
         drop(self.fillers);
-        wait_until("a connection that was late", || {
+        wait_until("a connection behind the backlog", || {
             let (stream, from) = self.listener.accept().ok()?;
             (!filler_addresses.contains(&from)).then(|| LineStream::new(stream))
         })
--- a/crates/node/tests/common/line_stream.rs
+++ b/crates/node/tests/common/line_stream.rs
@@ -1,4 +1,4 @@
-//! One end of a connection, read by lines.
+//! One end of a connection that is read by lines.
 
 use super::wait::WAIT_TIMEOUT;
 use socket2::SockRef;
@@ -26,7 +26,7 @@
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next line without its end; what is left at the end of the connection; `RST` if it was reset.
+    /// Receives the next line without its terminator, the rest if the connection has ended, or `RST` if it was reset.
     pub fn receive(&mut self) -> String {
         let mut byte = [0];
         loop {
@@ -40,7 +40,7 @@
                 Ok(_) => self.received.push(byte[0]),
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return "RST".into(),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(error) => panic!("nothing received: {error}"),
+                Err(error) => panic!("receive failed: {error}"),
             }
             if self.received.ends_with(b"\r\n") {
                 let line = String::from_utf8(std::mem::take(&mut self.received)).unwrap();
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The next line without its end, or `None` where the connection has ended, broken or been quiet for long.
+    /// Receives the next line without its terminator, or `None` if the connection has ended or failed, or nothing arrived
+    /// in [`WAIT_TIMEOUT`].
     pub fn try_receive(&mut self) -> Option<String> {
         let mut byte = [0];
         while !self.received.ends_with(b"\r\n") {
@@ -63,12 +64,12 @@
         Some(line.trim_end().to_string())
     }
 
-    /// Sends, where the connection may have ended by now.
+    /// Sends text on a connection that may have ended.
     pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.stream.write_all(text.as_bytes())
     }
 
-    /// Whether nothing has come.
+    /// Returns true if neither data nor the end of the connection has arrived.
     pub fn is_quiet(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let result = self.stream.peek(&mut [0]);
@@ -77,7 +78,7 @@
     }
 }
 
-/// Sends a line to the server and one back.
+/// Sends a line to the server and another one back to the client.
 pub fn exchange_lines(client: &mut LineStream, server: &mut LineStream) {
     client.send("hello\r\n");
     assert_eq!(server.receive(), "hello");
@@ -85,8 +86,8 @@
     assert_eq!(client.receive(), "hello");
 }
 
-/// Ends a connection with a reset.
-#[allow(clippy::needless_pass_by_value)] // The connection ends with the value.
+/// Closes a connection with a reset.
+#[allow(clippy::needless_pass_by_value)] // Dropping the value closes the connection.
 pub fn reset_connection(connection: LineStream) {
     SockRef::from(&connection.stream)
         .set_linger(Some(Duration::ZERO))
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A node with stub servers and a stub discovery service around it, all on ephemeral loopback ports.
-#![allow(dead_code, unused_imports)] // Each test file uses a part of it.
+#![allow(dead_code, unused_imports)] // Each test file uses only some of it.
 
 mod address;
 mod cluster;
--- a/crates/node/tests/common/node_process.rs
+++ b/crates/node/tests/common/node_process.rs
@@ -8,16 +8,15 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Moves the inherited listener to descriptor 7, where there is one, and runs the program.
+/// Moves the inherited listener, if there is one, to descriptor 7 and runs the program.
 const START_SCRIPT: &str = "[ -z \"$RELAY_INHERITED_FD\" ] || exec 7<&0 0</dev/null; exec \"$@\"";
 
-/// Which build of the program a process runs.
+/// The build of the program that a process runs.
 #[derive(Clone, Copy, Debug)]
 pub enum Build {
-    /// The one that is tested.
+    /// The tested build.
     This,
-    /// The program that the environment variable `LUPINCRANK_OTHER_BUILD` names; the one that is tested where it names
-    /// none.
+    /// The program that the environment variable `LUPINCRANK_OTHER_BUILD` names; the tested build if it is not set.
     Other,
 }
 
@@ -72,7 +71,7 @@
     command.spawn().unwrap()
 }
 
-/// Starts the node with an operator's file. Calls may fail in it.
+/// Starts the node with an operator file and optional system call faults.
 pub fn spawn_with_operator_file(
     config_path: &Path,
     operator_path: &Path,
@@ -100,7 +99,8 @@
         .unwrap()
 }
 
-/// Sends a process a signal, such as `-TERM`. No other process is started for it: the moment of the signal is known.
+/// Sends a signal, such as `-TERM`, to a process. No other process is started for it, so that the time of the signal is
+/// known.
 pub fn send_signal(process: &Child, signal: &str) {
     let signal = match signal {
         "-TERM" => Signal::TERM,
@@ -108,7 +108,7 @@
         "-KILL" => Signal::KILL,
         "-STOP" => Signal::STOP,
         "-CONT" => Signal::CONT,
-        other => panic!("no signal {other}"),
+        other => panic!("unknown signal {other}"),
     };
     let process = Pid::from_raw(process.id() as i32).unwrap();
     kill_process(process, signal).unwrap();
--- a/crates/node/tests/common/requests.rs
+++ b/crates/node/tests/common/requests.rs
@@ -10,7 +10,7 @@
 
 /// Clients.
 impl Rig {
-    /// Where clients connect.
+    /// The node's address for clients.
     pub fn client_address(&self) -> SocketAddr {
         self.listen_address
     }
@@ -21,14 +21,14 @@
         }))
     }
 
-    /// What one line on a connection of its own is answered.
+    /// Sends text on a new connection and returns the answer.
     pub fn query(&self, text: &str) -> String {
         let mut client = self.connect_client();
         client.send(text);
         client.receive()
     }
 
-    /// A client whose `OPEN` line has these further fields, with that line.
+    /// Sends an `OPEN` line with these additional fields; returns the client and the line.
     pub fn send_request(&mut self, fields: &str) -> (LineStream, String) {
         self.last_request_id += 1;
         let line = format!(
@@ -40,12 +40,12 @@
         (client, line)
     }
 
-    /// A client whose connection is established: it, its server's number, and the server's end.
+    /// Establishes a connection; returns the client, the index of its server, and the server's end.
     pub fn establish(&mut self) -> (LineStream, usize, LineStream) {
         self.establish_in_group("5c0f6e1a")
     }
 
-    /// The same for a client of this group.
+    /// Establishes a connection for a client of this group.
     pub fn establish_in_group(&mut self, group: &str) -> (LineStream, usize, LineStream) {
         let (mut client, _) = self.send_request(&format!("d=1500,g={group}"));
         let (server_index, mut server) = self.accept_attempt();
@@ -55,10 +55,10 @@
         (client, server_index, server)
     }
 
-    /// Waits until the end of this client's connection has arrived at the node, which may be paused: on a machine that
-    /// has much to do the kernel takes its time to deliver it.
+    /// Waits until the close of this client's connection has arrived at the node, which may be paused. On a busy machine
+    /// the kernel delivers it late.
     pub fn wait_for_client_close(&self, client: SocketAddr) {
-        wait_until("the end arrives", || {
+        wait_until("the close arrives", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             table
                 .lines()
@@ -68,7 +68,7 @@
     }
 }
 
-/// Whether a row of the kernel's table of sockets is an established connection between these ports.
+/// Returns true if a row of the kernel's table of sockets is an established connection between these ports.
 fn is_established(row: &str, local: SocketAddr, remote: SocketAddr) -> bool {
     let port_suffix = |address: SocketAddr| format!(":{:04X}", address.port());
     let mut columns = row.split_whitespace().skip(1);
@@ -84,7 +84,7 @@
 
 /// The servers' ends.
 impl Rig {
-    /// The next connection at any server that still listens: which one, and the connection.
+    /// Accepts the next connection at any listening server; returns the server's index and the connection.
     pub fn accept_attempt(&self) -> (usize, LineStream) {
         wait_until("an attempt", || {
             let mut accepted = self
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Whether no connection waits at any server.
+    /// Returns true if no connection waits at any server.
     pub fn has_no_attempt(&self) -> bool {
         self.servers
             .iter()
@@ -107,27 +107,28 @@
             .all(|server| server.accept().is_err())
     }
 
-    /// Ends a server's admin drain and waits until it is used again: not at once, for it counts as warming up.
+    /// Ends a server's admin drain and waits until the server is used again, which takes a while because it counts as
+    /// warming up.
     pub fn undrain(&mut self, server_index: usize) {
         assert_eq!(
             self.admin_call(&format!("set-up s-{server_index}\r\n")),
             "done"
         );
         let mut clients = Vec::new();
-        wait_until("it is used again", || {
+        wait_until("the server is used again", || {
             let (mut client, _) = self.send_request(&format!("d=1500,g={}", clients.len()));
-            let attempted_at = wait_until("an attempt or an answer", || {
-                let attempted_at = self.servers.iter().position(|server| {
+            let attempted_index = wait_until("an attempt or an answer", || {
+                let attempted_index = self.servers.iter().position(|server| {
                     server
                         .as_ref()
                         .is_some_and(|server| server.accept().is_ok())
                 });
-                attempted_at
+                attempted_index
                     .map(Some)
                     .or_else(|| (!client.is_quiet()).then_some(None))
             });
             clients.push(client);
-            (attempted_at == Some(server_index)).then_some(())
+            (attempted_index == Some(server_index)).then_some(())
         });
     }
 }
@@ -139,18 +140,18 @@
         self.admin_address
     }
 
-    /// A connection to it.
+    /// Connects to the admin address.
     pub fn connect_admin(&self) -> LineStream {
         connect_admin(self.admin_address)
     }
 
-    /// What an admin call is answered.
+    /// Makes an admin call and returns the answer.
     pub fn admin_call(&self, call: &str) -> String {
         admin_call_at(self.admin_address, call)
     }
 }
 
-/// What a call at the admin address of either process is answered.
+/// Makes an admin call at the address of either process and returns the answer.
 pub fn admin_call_at(address: SocketAddr, call: &str) -> String {
     let mut caller = connect_admin(address);
     caller.send(call);
@@ -158,7 +159,7 @@
 }
 
 fn connect_admin(address: SocketAddr) -> LineStream {
-    LineStream::new(wait_until("the node takes calls", || {
+    LineStream::new(wait_until("the node accepts admin calls", || {
         TcpStream::connect(address).ok()
     }))
 }
--- a/crates/node/tests/common/rig.rs
+++ b/crates/node/tests/common/rig.rs
@@ -1,4 +1,4 @@
-//! The rig: the node and what is around it.
+//! The rig: a node and its environment.
 
 use super::address::{listen, ReservedAddress};
 use super::endpoint_list::endpoint_list;
@@ -14,12 +14,12 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// How many descriptors a node may use unless a test says otherwise.
+/// Default limit of a node's descriptors.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
 /// A node with stub servers and a stub discovery service.
 pub struct Rig {
-    /// The servers' listeners; `None` for one that is gone.
+    /// The servers' listeners; `None` for a server that has stopped.
     pub servers: Vec<Option<TcpListener>>,
     pub(super) server_addresses: Vec<SocketAddr>,
     pub discovery: TcpListener,
@@ -30,7 +30,7 @@
     /// The older process of the node, if it has two.
     pub predecessor: Option<Child>,
     pub(super) inherited: Option<InheritedListener>,
-    /// What fails in the processes of the node.
+    /// Faults in the processes of the node.
     pub(super) faults: Option<SyscallFaults>,
     pub(super) listen_address: SocketAddr,
     /// The admin address of the newest process.
@@ -62,12 +62,12 @@
 
 /// Starting a node.
 impl Rig {
-    /// A node that knows so many servers, ready to serve.
+    /// Starts a node that knows `server_count` servers and waits until it can serve.
     pub fn start(server_count: usize) -> Rig {
         Rig::start_with_descriptors(server_count, DEFAULT_DESCRIPTORS)
     }
 
-    /// The same with so many descriptors.
+    /// Starts a node with this descriptor limit and waits until it can serve, if it has any server.
     pub fn start_with_descriptors(server_count: usize, descriptors: usize) -> Rig {
         let mut rig = Rig::launch(server_count, descriptors);
         rig.accept_watch();
@@ -77,17 +77,18 @@
         rig
     }
 
-    /// A node in which these calls fail, ready to serve.
+    /// Starts a node, waits until it can serve and switches these faults on.
     pub fn start_with_faults(server_count: usize, faults: SyscallFaults) -> Rig {
         Rig::start_changed(server_count, DEFAULT_DESCRIPTORS, Some(faults), |_| {})
     }
 
-    /// A node with a changed configuration, ready to serve.
+    /// Starts a node with a changed configuration and waits until it can serve.
     pub fn start_with_config(server_count: usize, change: impl FnOnce(&mut Value)) -> Rig {
         Rig::start_changed(server_count, DEFAULT_DESCRIPTORS, None, change)
     }
 
-    /// A node with so many descriptors and a changed configuration in which calls may fail, ready to serve.
+    /// Starts a node with this descriptor limit and a changed configuration, waits until it can serve and switches the
+    /// faults on.
     pub fn start_changed(
         server_count: usize,
         descriptors: usize,
@@ -102,7 +103,7 @@
         rig
     }
 
-    /// A node in which calls fail from its start on, and whose first call to discovery is still to be answered.
+    /// Starts a node with faults from its start on; its first discovery call is still unanswered.
     pub fn launch_with_faults(
         server_count: usize,
         descriptors: usize,
@@ -120,22 +121,22 @@
         )
     }
 
-    /// What fails in the processes that are started from now on.
+    /// Sets the faults of the processes that are started later.
     pub fn set_faults(&mut self, faults: SyscallFaults) {
         self.faults = Some(faults);
     }
 
-    /// System calls of the node's processes fail from now on, where a plan says so.
+    /// Activates the faults of the node's processes, if there are any.
     pub fn switch_faults_on(&self) {
         self.faults.iter().for_each(SyscallFaults::switch_on);
     }
 
-    /// System calls do not fail any more.
+    /// Deactivates the faults.
     pub fn switch_faults_off(&self) {
         self.faults.iter().for_each(SyscallFaults::switch_off);
     }
 
-    /// One of so many nodes, ready to serve.
+    /// Starts a node that counts as one of `node_count` and waits until it can serve.
     pub fn start_as_one_of(node_count: u32, server_count: usize) -> Rig {
         let mut rig = Rig::launch_with_config(server_count, DEFAULT_DESCRIPTORS, |config| {
             config["settings"]["Instances"] = node_count.into();
@@ -145,17 +146,17 @@
         rig
     }
 
-    /// A node that inherits its listener and may be started a second time.
+    /// Starts a node that inherits its listener, so that it can have a successor.
     pub fn start_with_inherited_listener(server_count: usize) -> Rig {
         Rig::start_build_with_inherited_listener(Build::This, server_count)
     }
 
-    /// The same with a node of this build.
+    /// Starts a node of this build that inherits its listener.
     pub fn start_build_with_inherited_listener(build: Build, server_count: usize) -> Rig {
         Rig::start_inheriting(build, server_count, None)
     }
 
-    /// A node that inherits its listener and in whose processes these calls fail.
+    /// Starts a node that inherits its listener, with these faults in its processes.
     pub fn start_inheriting_with_faults(server_count: usize, faults: SyscallFaults) -> Rig {
         let rig = Rig::start_inheriting(Build::This, server_count, Some(faults));
         rig.switch_faults_on();
@@ -185,12 +186,12 @@
         rig
     }
 
-    /// A node whose first call to discovery is still to be answered.
+    /// Starts a node whose first discovery call is still unanswered.
     pub fn launch(server_count: usize, descriptors: usize) -> Rig {
         Rig::launch_with_config(server_count, descriptors, |_| {})
     }
 
-    /// The same with a changed configuration.
+    /// Starts a node with a changed configuration; its first discovery call is still unanswered.
     pub fn launch_with_config(
         server_count: usize,
         descriptors: usize,
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Waits until the front would send clients to the node.
+    /// Waits for the `PONG` after which the front sends clients to the node.
     pub fn wait_for_pong(&self) {
         wait_until("PONG", || (self.query("PING\r\n") == "PONG").then_some(()));
     }
@@ -268,8 +269,8 @@
 
 /// The node's newest process.
 impl Rig {
-    /// Makes a server refuse connections. Its listener is shut down and not only closed: a process that another test is just
-    /// starting may hold a copy of it until its exec, and the kernel would accept connections for as long.
+    /// Makes a server refuse connections. The listener is shut down and not only closed: a process that another test is
+    /// starting may hold a copy of it until its exec, and the kernel would accept connections until then.
     pub fn stop_listening(&mut self, server: usize) {
         let listener = self.servers[server].take().unwrap();
         socket2::SockRef::from(&listener)
@@ -286,18 +287,18 @@
     }
 
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        wait_until("the node ends", || self.process.try_wait().unwrap())
+        wait_until("the node exits", || self.process.try_wait().unwrap())
     }
 
     pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    /// A thread that tells when it has exited.
+    /// Starts a thread that returns the time at which the process exited.
     pub fn watch_exit(&self) -> JoinHandle<Instant> {
         let path = format!("/proc/{}/stat", self.process.id());
         std::thread::spawn(move || {
-            wait_until("it exits", || {
+            wait_until("the process exits", || {
                 let is_running = std::fs::read_to_string(&path)
                     .is_ok_and(|stat| !stat.rsplit_once(") ").unwrap().1.starts_with('Z'));
                 (!is_running).then_some(())
@@ -306,18 +307,18 @@
         })
     }
 
-    /// How many descriptors it holds.
+    /// The number of open descriptors of the process.
     pub fn open_descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
             .unwrap()
             .count()
     }
 
-    /// Stops it where it is; what comes meanwhile waits for it, and all of it lies in one turn of its loop once it goes on.
+    /// Pauses the process. All events that arrive meanwhile are in one turn of its event loop after [`Rig::resume`].
     pub fn pause(&self) {
         self.signal("-STOP");
         let path = format!("/proc/{}/stat", self.process.id());
-        wait_until("it stands still", || {
+        wait_until("the process is stopped", || {
             let stat = std::fs::read_to_string(&path).unwrap();
             stat.rsplit_once(") ")
                 .unwrap()
@@ -327,7 +328,7 @@
         });
     }
 
-    /// Lets it go on.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -338,7 +339,7 @@
         self.signal("-HUP");
     }
 
-    /// Changes the settings so that no delay of this machine counts as a server's overload, for which requests are rejected.
+    /// Changes the settings so that no delay of this machine counts as a server's overload, which would reject requests.
     pub fn allow_long_delays(&mut self) {
         const LONG_NS: u64 = 20_000_000_000;
         self.change_settings(|settings| {
@@ -347,7 +348,7 @@
         });
     }
 
-    /// Changes the settings while it serves.
+    /// Changes the settings while the node serves.
     pub fn change_settings(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config["settings"]);
         self.reload_config(&self.config.to_string());
@@ -358,25 +359,25 @@
         self.config_path.with_extension("log")
     }
 
-    /// What all processes of the node have logged so far.
+    /// The log of all processes of the node.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.config_path.with_extension("log")).unwrap()
     }
 
-    /// Waits until a log line holds this text.
+    /// Waits until the log contains this text.
     pub fn wait_for_log(&self, text: &str) {
         self.wait_for_log_count(text, 1);
     }
 
-    /// Waits until the log of all processes holds this text so many times.
+    /// Waits until the log of all processes contains this text `count` times.
     pub fn wait_for_log_count(&self, text: &str, count: usize) {
         wait_until(text, || {
             (self.log().matches(text).count() >= count).then_some(())
         });
     }
 
-    /// Establishes no connection to this server until the guard is released. The kernel tries those that wait for it
-    /// again after a second.
+    /// Keeps connections to this server from being established until the guard is released. The kernel retries a waiting
+    /// connect after a second.
     pub fn fill_backlog(&self, server: usize) -> FullBacklog {
         FullBacklog::fill(self.servers[server].as_ref().unwrap())
     }
--- a/crates/node/tests/common/successor.rs
+++ b/crates/node/tests/common/successor.rs
@@ -13,19 +13,19 @@
         &self.inherited.as_ref().unwrap().runtime_directory
     }
 
-    /// Waits until the newest process says that it can serve.
+    /// Waits until the newest process reports that it can serve.
     pub fn wait_until_ready(&self) {
-        wait_until("done", || {
+        wait_until("the newest process can serve", || {
             (self.admin_call("check\r\n") == "done").then_some(())
         });
     }
 
-    /// Starts the node a second time, beside itself, with another admin address.
+    /// Starts a second process of the node, with another admin address.
     pub fn start_successor(&mut self) {
         self.start_successor_build(Build::This);
     }
 
-    /// The same with a process of this build.
+    /// Starts a second process, of this build.
     pub fn start_successor_build(&mut self, build: Build) {
         let admin_listener = ReservedAddress::any();
         self.admin_address = admin_listener.address;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Starts a second process and ends the first one.
+    /// Starts a second process, waits until it can serve and terminates the first one.
     pub fn hand_over_to_successor(&mut self) {
         self.start_successor();
         self.accept_watch();
@@ -52,7 +52,7 @@
         self.terminate_predecessor();
     }
 
-    /// Sends the older process SIGTERM and waits for its end.
+    /// Sends SIGTERM to the older process and waits for its exit.
     pub fn terminate_predecessor(&mut self) {
         send_signal(self.oldest_process(), "-TERM");
         self.wait_for_predecessor_exit();
@@ -63,9 +63,9 @@
         self.predecessor.as_mut().unwrap_or(&mut self.process)
     }
 
-    /// Waits for the orderly end of the older process.
+    /// Waits for the older process to exit successfully.
     pub fn wait_for_predecessor_exit(&mut self) {
         let oldest = self.oldest_process();
-        assert!(wait_until("the older process ends", || oldest.try_wait().unwrap()).success());
+        assert!(wait_until("the older process exits", || oldest.try_wait().unwrap()).success());
     }
 }
--- a/crates/node/tests/common/syscall_faults.rs
+++ b/crates/node/tests/common/syscall_faults.rs
@@ -1,11 +1,11 @@
-//! Processes of the node whose system calls or wall clock fail.
+//! Faults in system calls and the wall clock of the node's processes.
 
 use lupincrank_syscall_faults::{LIBRARY_FILE, PLAN_VARIABLE, SEED_VARIABLE, SWITCH_VARIABLE};
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What fails in the processes of a node, while it is switched on.
+/// Faults in the processes of a node, active while they are switched on.
 pub struct SyscallFaults {
     plan: String,
     seed: u64,
@@ -14,7 +14,7 @@
 }
 
 impl SyscallFaults {
-    /// A plan in the library's form. Nothing fails before it is switched on.
+    /// Creates faults from a plan in the fault library's format. They are switched off.
     pub fn new(plan: &str, seed: u64) -> SyscallFaults {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -26,17 +26,17 @@
         }
     }
 
-    /// Calls fail from now on.
+    /// Activates the faults.
     pub fn switch_on(&self) {
         std::fs::File::create(&self.switch).unwrap();
     }
 
-    /// Calls do not fail any more.
+    /// Deactivates the faults.
     pub fn switch_off(&self) {
         let _ = std::fs::remove_file(&self.switch);
     }
 
-    /// What stands before the program on its command line. The library is not loaded into the shell before it.
+    /// Arguments that precede the program on its command line. They keep the library out of the shell that runs it.
     pub fn command_prefix(&self) -> Vec<OsString> {
         vec![
             "/usr/bin/env".into(),
@@ -61,11 +61,15 @@
     text
 }
 
-/// The library is built beside the test.
+/// The path of the fault library, which is built beside the test.
 fn library_path() -> PathBuf {
     let path = std::env::current_exe()
         .unwrap()
         .with_file_name(LIBRARY_FILE);
-    assert!(path.exists(), "no library at {}", path.display());
+    assert!(
+        path.exists(),
+        "fault library not found at {}",
+        path.display()
+    );
     path
 }
--- a/crates/node/tests/operation_limits.rs
+++ b/crates/node/tests/operation_limits.rs
@@ -19,7 +19,7 @@
     requests: usize,
 ) -> Vec<usize> {
     let before: Vec<usize> = (0..server_count)
-        .map(|server| servers.count_at(server))
+        .map(|server| servers.first_line_count(server))
         .collect();
     let mut clients: Vec<LineStream> = (0..requests)
         .map(|number| rig.send_request(&format!("d=3000,g=spread-{number}")).0)
@@ -28,7 +28,7 @@
         assert_eq!(client.receive(), "UP r1");
     }
     (0..server_count)
-        .map(|server| servers.count_at(server) - before[server])
+        .map(|server| servers.first_line_count(server) - before[server])
         .collect()
 }
 
@@ -181,7 +181,7 @@
         number += 1;
         let (mut client, _) = rig.send_request(&format!("d=1000,g=again-{number}"));
         client.receive();
-        (servers.count_at(0) > 0).then_some(())
+        (servers.first_line_count(0) > 0).then_some(())
     });
     assert!(called_back_at.elapsed() < Duration::from_secs(5));
 }
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -219,11 +219,11 @@
     rig.announce_health(0, "DRAINING", 6);
     rig.wait_for_log("seq: 6");
     rig.switch_faults_off();
-    let before = servers.count_at(0);
+    let before = servers.first_line_count(0);
     let (outcomes, _served) = send_requests(&mut rig);
     assert_all_served(&outcomes);
     assert_eq!(
-        servers.count_at(0),
+        servers.first_line_count(0),
         before,
         "nothing new to the one that drains"
     );
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -74,7 +74,7 @@
     for client in &mut clients {
         client.receive();
     }
-    servers.count_at(2)
+    servers.first_line_count(2)
 }
 
 /// The server gets what it would with a right clock.
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,7 +1,7 @@
-//! Clients of a node: an open loop in which the planned moment counts and never the moment of sending.
+//! Clients of a node in an open loop: latency counts from the planned time of a connection, not from the time of sending.
 //!
-//! A session sends a request, retries when it is rejected, keeps its connection for as long as planned, and reconnects when
-//! that is migrated or ends unexpectedly.
+//! A session sends a request, retries if it is rejected, keeps its connection for as long as planned, and reconnects if the
+//! connection is migrated or ends unexpectedly.
 
 use crate::line_stream::LineStream;
 use crate::observation::{Answer, ConnectionEnd, Observation};
@@ -11,15 +11,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A connection that is not established in this time is given up for another node.
+/// Time limit of a connect, after which the client tries another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A client listens this much longer than its own timeout: an answer that comes late is told apart from none.
+/// A client keeps listening this long after its own timeout, to tell a late answer from a missing one.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(600);
-/// After the last line that it needs a client listens this much longer for lines that must not come.
+/// A client keeps listening this long after its last expected line, to detect extra answers.
 const LINGER: Duration = Duration::from_millis(100);
 /// Pause before a retry after a failed connect.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Pause before a retry after an answer that names none.
+/// Pause before a retry after an answer without a retry delay.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Pause before a retry after a request without an answer.
 const TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -28,37 +28,37 @@
 /// The line that clients send on established connections.
 const CLIENT_LINE: &str = "hello\r\n";
 
-/// How clients behave.
+/// The behaviour of clients.
 #[derive(Clone, Debug)]
 pub struct ClientBehaviour {
-    /// How long each waits for an answer.
+    /// Time that a client waits for an answer.
     pub answer_timeout: Duration,
-    /// How often a line is sent on an established connection.
+    /// Interval between lines on an established connection.
     pub line_interval: Duration,
-    /// The request class that they name.
+    /// The request class in their first lines.
     pub class: String,
 }
 
-/// What one client wants, over all of its requests.
+/// The state of one client across all of its requests.
 #[derive(Clone, Debug)]
 pub struct ClientSession {
-    /// Its number.
+    /// Number of the session.
     pub number: u64,
-    /// When its present connection was meant to begin: the planned moment, or that of its reconnect.
+    /// Intended start of the current connection: the planned time, or the time of the reconnect.
     pub intended_at: Instant,
-    /// The key group that it belongs to.
+    /// Key group of the client.
     pub group: u64,
-    /// How long its connection is still to last.
+    /// Remaining duration of the connection.
     pub remaining_duration: Duration,
-    /// Requests sent since it last had a connection.
+    /// Requests sent since the client last had a connection.
     pub attempt_count: u32,
-    /// Whether it had a connection before.
+    /// Whether the client had a connection before.
     pub is_reconnect: bool,
-    /// Id of its next request; none is used twice.
+    /// Id of the next request; each id is used once.
     pub request: u64,
 }
 
-/// A step of a session that the program plans the next one from.
+/// A step of a session, from which the program plans the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionStep {
     /// The connection is established.
@@ -66,12 +66,12 @@
         /// Time since the connection was meant to begin.
         latency: Duration,
     },
-    /// Another request is to be sent.
+    /// Another request has to be sent.
     Retry {
         /// The pause before it.
         delay: Duration,
     },
-    /// The connection was migrated or has ended, and a new one is wanted.
+    /// The connection was migrated or has ended, and the client reconnects.
     Reconnect {
         /// The pause before it.
         delay: Duration,
@@ -85,7 +85,7 @@
     Connecting,
     AwaitingAnswer,
     Established,
-    /// The next step is reported; the client only listens for lines that must not come.
+    /// The session's step has been reported; the client only listens for extra answers.
     Lingering,
 }
 
@@ -101,7 +101,7 @@
     established_at: Instant,
 }
 
-/// Begins a request to a node; false if no socket can be opened.
+/// Starts a request to a node. Returns false if no socket can be opened.
 pub fn send_request<E: Environment>(
     context: &mut Context<E>,
     session: ClientSession,
@@ -131,7 +131,6 @@
     true
 }
 
-/// The first line of a request.
 fn first_line(session: &ClientSession, behaviour: &ClientBehaviour) -> String {
     let ClientSession {
         request,
@@ -152,7 +151,7 @@
     )
 }
 
-/// The answer that a line is.
+/// Parses the first line that a client receives.
 fn parse_answer(line: &str) -> Answer {
     match first_word(line) {
         "UP" => Answer::Accepted,
@@ -170,7 +169,7 @@
     line.split(' ').next().unwrap_or_default()
 }
 
-/// How long a client waits before its retry after an answer.
+/// Returns the pause before the retry that follows an answer.
 fn retry_delay(answer: Answer) -> Duration {
     match answer {
         Answer::Rejected { retry_after_ms } if retry_after_ms > 0 => {
@@ -185,9 +184,9 @@
         &self,
         context: &mut Context<E>,
         kind: DeadlineKind,
-        at: Instant,
+        time: Instant,
     ) {
-        context.deadlines.set(self.id, kind.into(), at);
+        context.deadlines.set(self.id, kind.into(), time);
     }
 
     fn on_connected<E: Environment>(&mut self, context: &mut Context<E>) -> Lifecycle {
@@ -213,7 +212,7 @@
         Lifecycle::Continue
     }
 
-    /// Reports the session's last step on this connection, which lingers for lines that must not come.
+    /// Reports the session's last step on this connection, which then lingers to detect extra answers.
     fn finish<E: Environment>(&mut self, context: &mut Context<E>, step: SessionStep) -> Lifecycle {
         let session = self.session.clone();
         context.application.on_session_step(session, step);
@@ -228,7 +227,7 @@
         context
             .deadlines
             .clear(self.id, DeadlineKind::SendLine.into());
-        self.set_deadline(context, DeadlineKind::Leave, Instant::now() + LINGER);
+        self.set_deadline(context, DeadlineKind::Disconnect, Instant::now() + LINGER);
         Lifecycle::Continue
     }
 
@@ -261,7 +260,7 @@
         let next_line = self.established_at + line_interval;
         self.set_deadline(context, DeadlineKind::SendLine, next_line);
         let end = self.established_at + self.session.remaining_duration;
-        self.set_deadline(context, DeadlineKind::Leave, end);
+        self.set_deadline(context, DeadlineKind::Disconnect, end);
     }
 
     fn on_line<E: Environment>(&mut self, context: &mut Context<E>, line: &str) -> Lifecycle {
@@ -321,7 +320,7 @@
         Lifecycle::Continue
     }
 
-    fn leave<E: Environment>(&mut self, context: &mut Context<E>) -> Lifecycle {
+    fn disconnect<E: Environment>(&mut self, context: &mut Context<E>) -> Lifecycle {
         context.application.observe(Observation::ConnectionEnded {
             request: self.session.request,
             end: ConnectionEnd::ByClient,
@@ -368,7 +367,7 @@
         };
         match (kind, self.phase) {
             (DeadlineKind::SendLine, Phase::Established) => self.send_line(context),
-            (DeadlineKind::Leave, Phase::Established) => self.leave(context),
+            (DeadlineKind::Disconnect, Phase::Established) => self.disconnect(context),
             (DeadlineKind::ClientTimeout, Phase::Connecting) => {
                 let delay = Duration::ZERO;
                 self.finish(context, SessionStep::Retry { delay })
--- a/crates/test-servers/src/discovery/endpoint_list.rs
+++ b/crates/test-servers/src/discovery/endpoint_list.rs
@@ -4,30 +4,30 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How discovery behaves towards one node.
+/// The behaviour of discovery towards one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Changes are sent after this delay.
     Delivering(Duration),
-    /// Watches stay open and bring no changes.
+    /// Watches stay open and deliver no changes.
     Stale,
     /// Calls are answered with 503, and watches are closed.
     Unavailable,
 }
 
-/// The health of an endpoint as listed.
+/// The health of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointHealth {
-    /// It takes new connections.
+    /// The endpoint accepts new connections.
     Serving,
-    /// It takes no new connections.
+    /// The endpoint accepts no new connections.
     Draining,
-    /// It is listed no more.
+    /// The endpoint has been removed from the list.
     Deleted,
 }
 
 impl EndpointHealth {
-    /// The word of the discovery protocol.
+    /// The name in the discovery protocol.
     fn as_str(self) -> &'static str {
         match self {
             EndpointHealth::Serving => "SERVING",
@@ -42,7 +42,7 @@
 pub enum ListScope {
     /// All entries.
     Snapshot,
-    /// Those that have changed since a sequence number.
+    /// Entries that have changed since a sequence number.
     Changes {
         /// The sequence number.
         since: u64,
@@ -62,14 +62,14 @@
     }
 }
 
-/// A server's health as an update announces it.
+/// A server's health in an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Announcement {
     pub(super) server: usize,
     pub(super) is_ready: bool,
 }
 
-/// What a node is sent.
+/// An update for one node.
 #[derive(Clone, Debug)]
 pub struct ListUpdate {
     /// The newest sequence number that it contains.
@@ -79,7 +79,7 @@
 }
 
 impl ListUpdate {
-    /// The update as sent to a node.
+    /// The update as JSON.
     pub fn json(&self) -> &str {
         &self.json
     }
@@ -90,9 +90,9 @@
     name: String,
     zone: String,
     health: EndpointHealth,
-    /// Unix time of the last start in milliseconds; 0 for long ago.
+    /// Unix time of the last start in milliseconds; 0 if the server has been running for long.
     started_ms: u64,
-    /// The address at which each node reaches it, by the node's number.
+    /// The address at which each node reaches the server, by the node's number.
     addresses: Vec<SocketAddr>,
     changed_sequence: u64,
     changed_at: Instant,
@@ -113,7 +113,7 @@
 pub struct EndpointList {
     entries: Vec<Entry>,
     last_sequence: u64,
-    /// By the node's number.
+    /// The behaviour towards each node, by its number.
     modes: BTreeMap<usize, DiscoveryMode>,
 }
 
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Lists a server as started just now.
+    /// Marks a server as serving and started now.
     pub fn record_restart(&mut self, server: usize) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -160,18 +160,18 @@
         self.set_health(server, EndpointHealth::Serving);
     }
 
-    /// Changes how discovery behaves towards a node.
+    /// Sets the behaviour of discovery towards a node.
     pub fn set_mode(&mut self, node: usize, mode: DiscoveryMode) {
         self.modes.insert(node, mode);
     }
 
-    /// How discovery behaves towards a node.
+    /// The behaviour of discovery towards a node.
     pub(super) fn mode(&self, node: usize) -> DiscoveryMode {
         let default = DiscoveryMode::Delivering(Duration::ZERO);
         self.modes.get(&node).copied().unwrap_or(default)
     }
 
-    /// The update that a node is sent now.
+    /// Returns the update to send to a node.
     pub fn update_for(&self, node: usize, scope: ListScope) -> ListUpdate {
         let entries = self.entries_for(node, scope);
         let newest = entries.iter().map(|(_, entry)| entry.changed_sequence);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The entries in scope, with their numbers: of changes only those that discovery's delay has released.
+    /// Returns the entries in scope with their indexes. Changes are included once discovery's delay has passed.
     fn entries_for(&self, node: usize, scope: ListScope) -> Vec<(usize, &Entry)> {
         let delay = match self.mode(node) {
             DiscoveryMode::Delivering(delay) => delay,
--- a/crates/test-servers/src/discovery/mod.rs
+++ b/crates/test-servers/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! The discovery service: one endpoint list, which each node watches at a listener of its own.
 //!
-//! Towards each node it can be slow, stale or unavailable, so nodes can know different states of the list.
+//! It can be slow, stale or unavailable for each node separately, so nodes can have different states of the list.
 
 mod endpoint_list;
 mod watch;
--- a/crates/test-servers/src/discovery/watch.rs
+++ b/crates/test-servers/src/discovery/watch.rs
@@ -12,9 +12,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// An empty line is sent on a watch so often.
+/// Interval between the heartbeats of a watch, which are empty lines.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a watch looks for changes.
+/// Interval between a watch's checks for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// An empty line as a chunk.
 const HEARTBEAT_CHUNK: &str = "1\r\n\n\r\n";
@@ -130,7 +130,7 @@
         }
         self.lines.send(RESPONSE_HEAD)?;
         if mode == DiscoveryMode::Stale {
-            // It sends nothing even to a node that asks for the first time.
+            // Stale discovery sends no list even to a node that calls for the first time.
             self.last_sequence = Some(0);
             self.lines.send(HEARTBEAT_CHUNK)?;
         } else {
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,7 +1,7 @@
-//! Upstream servers, a discovery service and clients for tests, written from the protocol's description.
+//! Upstream servers, a discovery service and clients for tests, implemented from the protocol's specification.
 //!
-//! All of them are components of one [`lupincrank_reactor`] loop. The program that runs them implements [`Environment`],
-//! and receives what they see as [`Observation`]s.
+//! All of them are components of one [`lupincrank_reactor`] event loop. The program that runs them implements
+//! [`Environment`] and receives their [`Observation`]s.
 
 #![forbid(unsafe_code)]
 
@@ -22,37 +22,36 @@
 /// Upper limit of a scaled duration.
 const MAX_SCALED_SECONDS: f64 = 86_400.0;
 
-/// What the program tells a component of this crate.
+/// A message from the program to a component of this crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Close the connection at once, with a reset.
     Reset,
     /// Close the connection gracefully.
     Close,
-    /// Read the state that the component depends on again, because it has changed.
+    /// Re-read the state that the component depends on, because it has changed.
     Reevaluate,
 }
 
-/// What a deadline of this crate's components is for. Deadlines of one component that fall due at the same instant fire
-/// in this order.
+/// The purpose of a component's deadline. Deadlines of one component that expire at the same instant fire in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeadlineKind {
     /// An upstream server compares its load with its capacity.
     CheckLoad,
-    /// A crashed upstream server comes back.
+    /// A crashed upstream server restarts.
     Restart,
-    /// An upstream server answers a first line, or has waited for one in vain.
+    /// An upstream server answers a first line, or gives up waiting for one.
     Answer,
-    /// An upstream server returns the lines that it has received.
+    /// An upstream server echoes the lines that it has received.
     Echo,
-    /// A discovery watch looks for changes and heartbeats to send.
+    /// A discovery watch sends pending changes and heartbeats.
     CheckWatch,
-    /// A client has waited long enough to be connected or answered.
+    /// A client gives up waiting for its connection or its answer.
     ClientTimeout,
     /// A client sends its next line.
     SendLine,
     /// A client's connection ends as planned.
-    Leave,
+    Disconnect,
 }
 
 /// The program that the components of this crate run in.
@@ -65,18 +64,18 @@
     fn upstream_fleet(&mut self) -> &mut UpstreamFleet;
     /// The endpoint list that discovery serves.
     fn endpoint_list(&mut self) -> &mut EndpointList;
-    /// How clients behave.
+    /// The behaviour of clients.
     fn client_behaviour(&self) -> &ClientBehaviour;
-    /// Records something that a component has observed just now.
+    /// Records an observation that a component has just made.
     fn observe(&mut self, observation: Observation);
-    /// A client's session has made a step; the program plans what follows from it.
+    /// Called after a step of a client's session; the program plans the next step.
     fn on_session_step(&mut self, session: ClientSession, step: SessionStep);
-    /// When a connection that reached an upstream server from this local address was dialed, if a proxy in between may
-    /// have held its first bytes back.
+    /// Returns the time at which the connection to an upstream server from this local address was dialed, if a proxy in
+    /// between may have delayed its first bytes.
     fn dialed_at(&self, local: SocketAddr) -> Option<Instant>;
 }
 
-/// Multiplies a duration. The result is within a day: factors may not be finite.
+/// Multiplies a duration. The result is at most a day, because a factor can be infinite.
 pub fn scale_duration(duration: Duration, factor: f64) -> Duration {
     let seconds = duration.as_secs_f64() * factor;
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_SCALED_SECONDS))
--- a/crates/test-servers/src/line_stream.rs
+++ b/crates/test-servers/src/line_stream.rs
@@ -1,4 +1,4 @@
-//! A non-blocking stream that is read and written by lines, with bounded buffers.
+//! A non-blocking stream of lines with bounded buffers.
 
 use lupincrank_reactor::poll::Registered;
 use lupincrank_reactor::Interest;
@@ -32,26 +32,26 @@
         }
     }
 
-    /// Whether the connect that made this stream has failed; asked once it is ready for the first time.
+    /// Returns true if the connect of this stream has failed. The result is valid once the stream has become ready.
     pub fn has_connect_failed(&self) -> bool {
         !matches!(self.stream.take_error(), Ok(None))
     }
 
-    /// Whether the peer has ended its direction, or [`LineStream::mark_ended`] was called.
+    /// Returns true if the peer has closed its direction or [`LineStream::mark_ended`] was called.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// Treats the stream as ended by its peer.
+    /// Treats the stream as closed by the peer.
     pub fn mark_ended(&mut self) {
         self.is_ended = true;
     }
 
-    /// Reads what has arrived, within the limits of this module.
+    /// Reads available bytes, within the limits of this module.
     ///
     /// # Errors
     ///
-    /// Any error of the socket; the stream can't be used further.
+    /// Any error of the socket, after which the stream can't be used.
     pub fn read(&mut self) -> io::Result<()> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut read_bytes = 0;
@@ -73,14 +73,14 @@
         Ok(())
     }
 
-    /// Takes the next complete line, without its end.
+    /// Removes and returns the next complete line, without its terminator.
     pub fn next_line(&mut self) -> Option<String> {
         let end = self.input.iter().position(|byte| *byte == b'\n')?;
         let line: Vec<u8> = self.input.drain(..=end).collect();
         Some(String::from_utf8_lossy(&line).trim_end().to_string())
     }
 
-    /// Sends text; what the socket does not accept now is buffered.
+    /// Sends text, and buffers what the socket does not accept yet.
     ///
     /// # Errors
     ///
@@ -93,11 +93,11 @@
         self.flush()
     }
 
-    /// Writes buffered output, and waits for the socket to become writable if some remains.
+    /// Writes buffered output, and requests an event for when the socket is writable if some remains.
     ///
     /// # Errors
     ///
-    /// Any error of the socket; the stream can't be used further.
+    /// Any error of the socket, after which the stream can't be used.
     pub fn flush(&mut self) -> io::Result<()> {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
--- a/crates/test-servers/src/observation.rs
+++ b/crates/test-servers/src/observation.rs
@@ -1,4 +1,4 @@
-//! What clients, upstream servers and discovery observe. A checker judges a run by these alone.
+//! Observations of clients, upstream servers and discovery, by which alone a checker judges a run.
 
 use std::time::Instant;
 
@@ -7,9 +7,9 @@
 pub enum Answer {
     /// The connection is established.
     Accepted,
-    /// Rejected, with the milliseconds to wait before the next attempt; 0 if the answer named none.
+    /// The request was rejected.
     Rejected {
-        /// Milliseconds to wait.
+        /// Milliseconds to wait before the next attempt; 0 if the answer contained no delay.
         retry_after_ms: u64,
     },
     /// Any other line.
@@ -25,14 +25,14 @@
     ByClient,
     /// It ended after a MOVE.
     Migrated,
-    /// It ended without notice.
+    /// It ended without a MOVE.
     Unexpected,
 }
 
-/// Something that a component observed.
+/// An observation of a component.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// A client sent a whole first line.
+    /// A client sent a complete first line.
     RequestSent {
         /// Id of the request.
         request: u64,
@@ -41,7 +41,7 @@
         /// Milliseconds that the client waits for an answer.
         timeout_ms: u64,
     },
-    /// A client received the first answer, or the end of its connection instead.
+    /// A client received its first answer, or its connection ended without one.
     FirstAnswer {
         /// Id of the request.
         request: u64,
@@ -70,7 +70,7 @@
         /// Id of the request that established it.
         request: u64,
     },
-    /// An upstream server crashed under its load.
+    /// An upstream server crashed from overload.
     ServerCrashed {
         /// Number of the server.
         server: usize,
@@ -92,7 +92,7 @@
         node: usize,
         /// Number of the server.
         server: usize,
-        /// Whether the server takes new connections.
+        /// Whether the server accepts new connections.
         is_ready: bool,
     },
 }
--- a/crates/test-servers/src/upstream_server/listener.rs
+++ b/crates/test-servers/src/upstream_server/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of an upstream server, which also watches the server's load.
+//! The listener of an upstream server, which also monitors the server's load.
 
 use super::session::ServerSession;
 use super::{set_mode, ServerMode, UpstreamServer};
@@ -13,9 +13,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How often a server compares its load with its capacity.
+/// Interval between comparisons of a server's load with its capacity.
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a crashed server stays down.
+/// Time between a server's crash and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(1500);
 /// Connections accepted in one turn of the loop.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
@@ -81,7 +81,7 @@
     ) {
         let mode = context.application.upstream_fleet().servers[self.server].mode;
         if mode == ServerMode::Stopped || stream.set_nonblocking(true).is_err() {
-            // As if nobody listened: the connection is reset.
+            // Reset the connection, as if nothing listened.
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
--- a/crates/test-servers/src/upstream_server/mod.rs
+++ b/crates/test-servers/src/upstream_server/mod.rs
@@ -1,7 +1,7 @@
 //! Upstream servers with a limited capacity.
 //!
-//! A server has a part of its capacity only while it warms up, and crashes when it is overloaded then. It answers more
-//! slowly the more connections it has, and closes them one by one when it drains.
+//! A server has only a fraction of its capacity while it warms up, and crashes if it is overloaded in that time. It answers
+//! more slowly the more connections it has, and closes them one by one when it drains.
 
 mod listener;
 mod session;
@@ -17,33 +17,33 @@
 /// Keeps divisors above zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// How much load a server bears.
+/// The capacity of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityModel {
-    /// Connections that a warm server serves well.
+    /// Number of connections that a warm server has capacity for.
     pub warm_capacity: f64,
-    /// Connections above which a server rejects.
+    /// Number of connections at which a server rejects further ones.
     pub max_connections: usize,
-    /// How long a server warms up after its start.
+    /// Length of the warm-up after a start.
     pub warm_up_duration: Duration,
-    /// Ratio of `warm_capacity` that a server has at its start.
+    /// Fraction of `warm_capacity` that a server has at its start.
     pub initial_capacity_ratio: f64,
-    /// A server that is warming up crashes at this multiple of its current capacity ...
+    /// A server that is warming up crashes if its load reaches this multiple of its current capacity.
     pub crash_load_ratio: f64,
-    /// ... if the load stays there for so long.
+    /// Time that the load has to stay at that multiple before the server crashes.
     pub crash_delay: Duration,
-    /// How long an idle server takes to establish a connection.
+    /// Time that an idle server takes to establish a connection.
     pub setup_duration: Duration,
 }
 
-/// What a server does with connections.
+/// The operating mode of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerMode {
-    /// It serves.
+    /// It accepts and serves connections.
     Serving,
-    /// It rejects new connections while its old ones are closed one by one.
+    /// It rejects new connections while its existing ones are closed one by one.
     Draining,
-    /// It answers nothing, on old connections and new ones.
+    /// It sends no answer on existing connections or new ones.
     Unresponsive,
     /// It is not running.
     Stopped,
@@ -54,7 +54,7 @@
     listener_id: ComponentId,
     address: SocketAddr,
     mode: ServerMode,
-    /// When it last started; none for long ago.
+    /// Time of the last start; `None` if the server has been running for long.
     started_at: Option<Instant>,
     overloaded_since: Option<Instant>,
     /// Request ids by the component that serves them.
@@ -76,7 +76,7 @@
         }
     }
 
-    /// How much load each server bears.
+    /// The capacity of each server.
     pub fn capacity_model(&self) -> &CapacityModel {
         &self.capacity_model
     }
@@ -86,7 +86,7 @@
         self.servers.len()
     }
 
-    /// Whether no server was ever started.
+    /// Returns true if no server was ever started.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
@@ -98,22 +98,22 @@
 }
 
 impl UpstreamServer {
-    /// The address that it listens at.
+    /// The server's listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it does with connections.
+    /// The server's operating mode.
     pub fn mode(&self) -> ServerMode {
         self.mode
     }
 
-    /// Number of its connections.
+    /// The server's number of connections.
     pub fn connection_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// The ratio of its warm capacity that it has now, 0 to 1.
+    /// The fraction of the warm capacity that the server has at `now`, 0 to 1.
     fn capacity_ratio(&self, model: &CapacityModel, now: Instant) -> f64 {
         let age = self.started_at.map_or(model.warm_up_duration, |started| {
             now.saturating_duration_since(started)
@@ -128,7 +128,7 @@
             .is_some_and(|started| now.saturating_duration_since(started) < model.warm_up_duration)
     }
 
-    /// How long an operation takes now that takes `idle_duration` on an idle server.
+    /// The duration, under the current load, of an operation that takes `idle_duration` on an idle server.
     fn operation_duration(
         &self,
         model: &CapacityModel,
@@ -140,7 +140,7 @@
         scale_duration(idle_duration, 1.0 + utilization * utilization)
     }
 
-    /// Whether its load has exceeded what it bears for so long that it crashes now.
+    /// Returns true if the server has been overloaded for the crash delay while it warms up, so that it crashes now.
     fn should_crash(&mut self, model: &CapacityModel, now: Instant) -> bool {
         let crash_load =
             model.warm_capacity * self.capacity_ratio(model, now) * model.crash_load_ratio;
@@ -160,7 +160,7 @@
     }
 }
 
-/// Changes a server's mode. One that stops resets all of its connections; one that serves after that has just started.
+/// Changes a server's mode. A server that stops resets all of its connections; serving after a stop counts as a start.
 pub fn set_mode<E: Environment>(context: &mut Context<E>, number: usize, mode: ServerMode) {
     let fleet = context.application.upstream_fleet();
     let Some(server) = fleet.servers.get_mut(number) else {
--- a/crates/test-servers/src/upstream_server/session.rs
+++ b/crates/test-servers/src/upstream_server/session.rs
@@ -11,10 +11,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connection without a first line is closed after this.
+/// Time after which a connection without a first line is closed.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A line is echoed in this fraction of the time that a setup takes.
-const SETUPS_PER_ECHO: u32 = 4;
+/// Number of echoes that take as long as one setup.
+const ECHOES_PER_SETUP: u32 = 4;
 
 /// One connection to a server.
 pub(super) struct ServerSession {
@@ -22,13 +22,13 @@
     server: usize,
     peer_address: SocketAddr,
     lines: LineStream,
-    /// Set by the first line.
+    /// Id of the request, set by the first line.
     request: Option<u64>,
     is_established: bool,
     pending_echo_count: u32,
 }
 
-/// The request id of a first line.
+/// Parses the request id of a first line.
 fn parse_request_id(line: &str) -> Option<u64> {
     let id = line.strip_prefix("OPEN ")?.get(..16)?;
     u64::from_str_radix(id, 16).ok()
@@ -76,7 +76,7 @@
         Lifecycle::Continue
     }
 
-    /// Sends a last answer and closes.
+    /// Sends a final answer and closes the connection.
     fn reject<E: Environment>(&mut self, context: &mut Context<E>, answer: &str) -> Lifecycle {
         let _ = self.lines.send(answer);
         self.close(context)
@@ -94,7 +94,7 @@
         Lifecycle::Continue
     }
 
-    /// A line before the answer is lost, like one to an unresponsive server.
+    /// Schedules the echo of a line. A line that arrives before the answer is dropped, as by an unresponsive server.
     fn schedule_echo<E: Environment>(&mut self, context: &mut Context<E>, now: Instant) {
         if !self.is_established {
             return;
@@ -104,7 +104,7 @@
         let model = &fleet.capacity_model;
         let server = &fleet.servers[self.server];
         let echo_duration =
-            server.operation_duration(model, model.setup_duration / SETUPS_PER_ECHO, now);
+            server.operation_duration(model, model.setup_duration / ECHOES_PER_SETUP, now);
         context
             .deadlines
             .set(self.id, DeadlineKind::Echo.into(), now + echo_duration);
