--- a/crates/node/tests/cluster_faults.rs
+++ b/crates/node/tests/cluster_faults.rs
@@ -1,4 +1,4 @@
-//! A cluster of real nodes whose wall clocks are stepped and whose disks fail for a while.
+//! A cluster of real nodes with stepped wall clocks and transient disk failures.
 
 mod common;
 use common::{wait_until, Cluster, SyscallFaults};
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 5;
-/// A process that starts again is a member and a new leader is found in this time.
+/// Within this time a restarted process is a member and a new leader is elected.
 const RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// Killed, and started again after so long with its wall clock an hour back or ahead: at once a member for all others.
+/// A node that is killed and restarted with its wall clock an hour back or ahead is at once a member for all others.
 #[rstest]
-fn a_node_that_starts_again_with_another_clock_is_a_member_at_once(
+fn a_node_that_restarts_with_another_clock_is_a_member_at_once(
     #[values("clock=-3600", "clock=3600")] clock: &str,
     #[values(0, 4)] down_seconds: u64,
 ) {
@@ -41,9 +41,9 @@
     );
 }
 
-/// A process that ends in good order leaves the cluster, and says nothing of a later process of its name.
+/// A process that terminates gracefully leaves the cluster, and does not log that a later process replaced it.
 #[test]
-fn a_node_that_ends_in_good_order_is_not_told_that_it_was_replaced() {
+fn a_node_that_terminates_gracefully_does_not_log_that_it_was_replaced() {
     let mut cluster = Cluster::start(3);
     for node in 0..3 {
         cluster.wait_for_member_count(node, 3);
@@ -54,10 +54,10 @@
     assert!(!log.contains("replaced by a later process"), "{log}");
 }
 
-/// The disks of three nodes of five fail for a while, the leader's among them: with its leader killed the group elects
-/// another one, and all that was stored before is there after all have started again.
+/// The disks of three of five nodes fail for a while, and a node is killed meanwhile: the control group elects a leader once
+/// the disks recover, and everything stored before is still there after restarts.
 #[rstest]
-fn a_disk_that_fails_for_a_while_costs_no_member(
+fn a_transient_disk_failure_costs_no_member(
     #[values("pwrite=ENOSPC:100", "sync=EIO:100", "pwrite=EIO:50,sync=EIO:50")] plan: &str,
 ) {
     let mut cluster = Cluster::new(NODES);
@@ -70,14 +70,14 @@
         cluster.wait_for_member_count(node, NODES);
     }
     faults.iter().for_each(SyscallFaults::switch_on);
-    // Something has to be written meanwhile: members and terms change.
+    // Killing a node changes members and terms, so that nodes have to write while their disks fail.
     cluster.kill(4);
     std::thread::sleep(Duration::from_secs(5));
     faults.iter().for_each(SyscallFaults::switch_off);
     cluster.wait_for_leader(&[0, 1, 2, 3]);
     cluster.spawn(4, None);
     cluster.wait_for_leader(&[0, 1, 2, 3, 4]);
-    // Now two nodes whose disks never failed go: the others have to go on alone.
+    // Kill the two nodes whose disks never failed: the other three have to continue alone.
     cluster.kill(3);
     cluster.kill(4);
     let before = cluster.applied_index(0);
@@ -85,7 +85,7 @@
     cluster.spawn(3, None);
     cluster.spawn(4, None);
     cluster.wait_for_leader(&[0, 1, 2, 3, 4]);
-    wait_until("what was stored before", || {
+    wait_until("the entries stored before", || {
         (cluster.applied_index(0) >= before).then_some(())
     });
     for node in 0..3 {
@@ -97,9 +97,9 @@
     }
 }
 
-/// Processes are killed while their disks fail, and start again with what they had stored.
+/// Processes are killed while their disks fail, and restart from their stored data.
 #[test]
-fn a_kill_while_the_disk_fails_leaves_a_file_that_goes_on() {
+fn a_kill_while_the_disk_fails_leaves_a_usable_file() {
     let mut cluster = Cluster::new(NODES);
     let faults: Vec<SyscallFaults> = (0..NODES as u64)
         .map(|seed| SyscallFaults::new("pwrite=SHORT:30,pwrite=ENOSPC:30,sync=EIO:30", seed))
@@ -119,7 +119,10 @@
     }
     let logs: Vec<String> = (0..NODES).map(|node| cluster.log(node)).collect();
     let logs = logs.concat();
-    assert!(!logs.contains("set aside"), "a file was damaged: {logs}");
+    assert!(!logs.contains("set aside"), "a file is damaged: {logs}");
     let bootstraps = logs.matches("control group bootstrapped").count();
-    assert_eq!(bootstraps, 1, "the group goes on, and no other one begins");
+    assert_eq!(
+        bootstraps, 1,
+        "the control group continues, and no other group is bootstrapped"
+    );
 }
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! What is still in transit when one side closes, and what the other side sees of it.
+//! Bytes in transit when one side closes a connection, and what the other side receives of them.
 
 mod common;
 use common::{reset_connection, wait_until, LineStream, Rig};
@@ -6,33 +6,33 @@
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
 
-/// A client whose first line has nearly the greatest length.
+/// Sends a first line of nearly the maximum length.
 fn send_long_request(rig: &mut Rig, wait: u32) -> LineStream {
     let fill = "x".repeat(3800);
     rig.send_request(&format!("d={wait},g=a,x={fill}")).0
 }
 
-/// Servers' kernels accept so little unread that the end of a long line stays in the node's kernel.
+/// Makes the servers' receive buffers so small that the end of a long line stays in the node's kernel.
 fn shrink_receive_buffers(rig: &Rig) {
     for server in rig.servers.iter().flatten() {
         SockRef::from(server).set_recv_buffer_size(1).unwrap();
     }
 }
 
-/// All that comes until the connection ends, and whether it ended without a reset.
+/// Returns all bytes until the connection ends, and whether it ended without a reset.
 fn read_to_end(line: &mut LineStream) -> (Vec<u8>, bool) {
-    let (mut came, mut part) = (Vec::new(), [0; 4096]);
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        match line.stream.read(&mut part) {
-            Ok(0) => return (came, true),
-            Ok(read) => came.extend_from_slice(&part[..read]),
-            Err(error) if error.kind() == ErrorKind::ConnectionReset => return (came, false),
+        match line.stream.read(&mut chunk) {
+            Ok(0) => return (received, true),
+            Ok(read) => received.extend_from_slice(&chunk[..read]),
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => return (received, false),
             Err(error) => panic!("{error}"),
         }
     }
 }
 
-/// A connection on which a part of the line has arrived. The rest is held back, as by a network that is cut.
+/// Accepts a connection on which a part of the line has arrived. The rest is held back, as by a network outage.
 fn accept_partly_delivered_attempt(rig: &Rig) -> LineStream {
     let (_, server) = rig.accept_attempt();
     wait_until("a part of the line", || {
@@ -41,7 +41,7 @@
     server
 }
 
-/// How an attempt ends whose line has not arrived.
+/// The way in which an attempt ends before its line has arrived.
 #[derive(Clone, Copy, PartialEq)]
 enum AttemptEnd {
     ClientCloses,
@@ -50,8 +50,8 @@
     NodeKilled,
 }
 
-/// What the kernel holds is not delivered once the network heals, after the attempt has ended: a request may be executed
-/// once its last byte has arrived.
+/// Bytes in the kernel's buffer must not be delivered once the network recovers, if the attempt has ended: the server may
+/// execute the request when its last byte arrives.
 #[rstest]
 fn undelivered_bytes_are_dropped_when_the_attempt_ends(
     #[values(
@@ -87,42 +87,42 @@
     }
     if client.is_none() {
         rig.wait_for_log("client left");
-        // `PING` is answered after what was decided has been carried out.
+        // `PING` is answered after earlier decisions have been carried out.
         assert_eq!(rig.query("PING\r\n"), "PONG");
     }
-    let (came, in_order) = read_to_end(&mut server);
+    let (received, is_graceful) = read_to_end(&mut server);
     assert!(
-        !came.ends_with(b"\n") && !in_order,
-        "{} bytes came, without a reset: {in_order}",
-        came.len()
+        !received.ends_with(b"\n") && !is_graceful,
+        "{} bytes received, without a reset: {is_graceful}",
+        received.len()
     );
 }
 
-/// Whoever ends it.
+/// The close is graceful whichever side ends the attempt.
 #[rstest]
 #[case::client_ends(None)]
 #[case::error(Some("ERR\r\n"))]
 #[case::rejected(Some("BUSY\r\n"))]
 #[case::served(Some("BYE\r\n"))]
 #[case::time_over(Some(""))]
-fn an_attempt_whose_line_has_arrived_is_closed_without_reset(#[case] says: Option<&str>) {
+fn an_attempt_whose_line_has_arrived_is_closed_without_reset(#[case] answer: Option<&str>) {
     let mut rig = Rig::start(1);
     rig.change_settings(|settings| settings["Limits"]["SendCap"] = 1.into());
-    let (client, line) = rig.send_request(if says == Some("") {
+    let (client, line) = rig.send_request(if answer == Some("") {
         "d=700,g=a"
     } else {
         "d=20000,g=a"
     });
     let (_, mut server) = rig.accept_attempt();
     assert_eq!(server.receive().split(',').next(), line.split(',').next());
-    match says {
-        Some(says) => server.send(says),
+    match answer {
+        Some(answer) => server.send(answer),
         None => drop(client),
     }
     assert_eq!(read_to_end(&mut server), (Vec::new(), true));
 }
 
-/// A connection from before the node's start waits for its server at SIGTERM.
+/// A restored connection, which existed before the node's start, waits for its server at SIGTERM.
 #[test]
 fn a_restored_connection_is_answered_at_shutdown() {
     let mut rig = Rig::start(1);
@@ -139,9 +139,9 @@
     assert!(rig.wait_for_exit().success());
 }
 
-/// A client sends its line and much more and closes: nothing of it reaches a server, and others are served.
+/// A client sends its line and much more, and closes: none of it reaches a server, and other clients are served.
 #[rstest]
-fn a_flood_of_a_client_that_closes_is_not_forwarded(#[values("x", "y\r\n")] says: &str) {
+fn a_flood_of_a_client_that_closes_is_not_forwarded(#[values("x", "y\r\n")] text: &str) {
     let mut rig = Rig::start(1);
     rig.pause();
     let (mut client, _) = rig.send_request("d=20000,g=a");
@@ -149,7 +149,7 @@
         .stream
         .set_write_timeout(Some(std::time::Duration::from_millis(200)))
         .unwrap();
-    let _ = client.stream.write_all(says.repeat(300_000).as_bytes());
+    let _ = client.stream.write_all(text.repeat(300_000).as_bytes());
     drop(client);
     rig.resume();
     let (mut client, line) = rig.send_request("d=20000,g=b");
@@ -157,7 +157,7 @@
     let id = line.split(' ').nth(1).unwrap();
     assert!(
         server.receive().contains(id),
-        "the first line that a server gets is the next client's"
+        "the first line that a server receives is the next client's"
     );
     server.send("UP r1\r\n");
     assert_eq!(client.receive(), "UP r1");
--- a/crates/node/tests/health_checks.rs
+++ b/crates/node/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: where the settings allow them a server is checked before a client is sent there, and its load report
+//! Health checks: if the settings allow them, a server is checked before a request is sent there, and its load report
 //! counts.
 
 mod common;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// A node that may check health as often as it likes.
+/// Starts a node whose rate of health checks is practically unlimited.
 fn start_with_health_checks(servers: usize) -> Rig {
     let mut rig = Rig::start(servers);
     rig.change_settings(|settings| {
@@ -17,42 +17,48 @@
     rig
 }
 
-/// The next health check: which server's, and the connection.
+/// Accepts the next health check; returns the server's index and the connection.
 fn accept_health_check(rig: &Rig) -> (usize, LineStream) {
-    let (at, mut health_check) = rig.accept_attempt();
+    let (server_index, mut health_check) = rig.accept_attempt();
     assert_eq!(health_check.receive(), "STATS");
-    (at, health_check)
+    (server_index, health_check)
 }
 
-/// The node may have gone on without an answer that is later than this, on a machine that has much to do.
+/// The node may proceed without an answer that is later than this, which happens on a busy machine.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(25);
 
-/// That server gets the client once it has answered, and not the next one.
+/// The request goes to the checked server once it has answered, and not to the next one.
 #[rstest]
 #[case("PONG rate=2,x0=0.3")]
 #[case("PONG")]
 #[case("NO")]
-fn a_client_goes_to_the_server_that_was_checked(
+fn a_request_goes_to_the_server_that_was_checked(
     #[case] answer: &str,
     #[values(1, 4)] servers: usize,
 ) {
-    let (mut rig, at, mut client, line, _probe) = wait_until("an answer in time", || {
+    let (mut rig, server_index, mut client, line, _probe) = wait_until("an answer in time", || {
         let mut rig = start_with_health_checks(servers);
         let started_at = Instant::now();
         let (client, line) = rig.send_request("d=1500,g=a");
-        let (at, mut health_check) = accept_health_check(&rig);
+        let (server_index, mut health_check) = accept_health_check(&rig);
         health_check.send(&format!("{answer}\r\n"));
-        (started_at.elapsed() < MAX_ANSWER_DELAY).then_some((rig, at, client, line, health_check))
+        (started_at.elapsed() < MAX_ANSWER_DELAY).then_some((
+            rig,
+            server_index,
+            client,
+            line,
+            health_check,
+        ))
     });
-    let (tried, mut server) = rig.accept_attempt();
+    let (attempted, mut server) = rig.accept_attempt();
     let text = server.receive();
-    assert_eq!((tried, &text[..21]), (at, &line[..21]));
+    assert_eq!((attempted, &text[..21]), (server_index, &line[..21]));
     server.send("UP r1\r\n");
     assert_eq!(client.receive(), "UP r1");
     assert!(rig.is_running());
 }
 
-/// However many there are.
+/// All health checks of one server use one connection.
 #[test]
 fn health_checks_of_a_server_share_a_connection() {
     let mut rig = start_with_health_checks(1);
@@ -60,18 +66,18 @@
     let (_, mut health_check) = accept_health_check(&rig);
     health_check.send("PONG rate=2,x0=0.3\r\n");
     let _peer = rig.accept_attempt();
-    // Reports are old after a second: then it is checked again, and until then nothing but clients has connected.
+    // Reports are stale after a second: then the server is checked again. Until then only requests have connected.
     wait_until("another health check", || {
         let (mut client, _) = rig.send_request("d=1500,g=a");
-        let tried = wait_until("an attempt or a health check", || {
-            let tried = rig.servers[0]
+        let attempted = wait_until("an attempt or a health check", || {
+            let attempted = rig.servers[0]
                 .as_ref()?
                 .accept()
                 .ok()
                 .map(|(stream, _)| Some(LineStream::new(stream)));
-            tried.or_else(|| (!health_check.is_quiet()).then_some(None))
+            attempted.or_else(|| (!health_check.is_quiet()).then_some(None))
         });
-        let Some(mut server) = tried else {
+        let Some(mut server) = attempted else {
             return Some(());
         };
         assert!(server.receive().starts_with("OPEN"));
@@ -82,9 +88,9 @@
     assert_eq!(health_check.receive(), "STATS");
 }
 
-/// It reports more load than it can carry.
+/// The server reports more load than it has capacity for.
 #[test]
-fn a_server_that_reports_to_be_full_is_skipped() {
+fn a_server_that_reports_overload_is_skipped() {
     let (rig, mut client, full, other, _health_checks) = wait_until("answers in time", || {
         let mut rig = start_with_health_checks(2);
         let started_at = Instant::now();
@@ -105,9 +111,9 @@
         ))
     });
     assert_ne!(full, other);
-    let (tried, mut server) = rig.accept_attempt();
+    let (attempted, mut server) = rig.accept_attempt();
     assert!(server.receive().starts_with("OPEN"));
-    assert_eq!(tried, other);
+    assert_eq!(attempted, other);
     server.send("UP r1\r\n");
     assert_eq!(client.receive(), "UP r1");
 }
@@ -128,7 +134,7 @@
         });
         (!health_check.is_quiet()).then_some(())
     });
-    // A report is fresh for a second, and after four it would be past anyway.
+    // A report is recent for a second, and would be discarded after four seconds anyway.
     assert!(
         started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
@@ -136,7 +142,7 @@
     );
 }
 
-/// It closes the health check's connection, or answers with an error.
+/// The server closes the health check's connection, or answers with an error.
 #[rstest]
 fn a_server_that_fails_its_health_checks_is_skipped(
     #[values(true, false)] answers_with_error: bool,
@@ -145,33 +151,34 @@
     let mut clients = Vec::new();
     let mut failing = None;
     // Two failures in a row are needed.
-    wait_until("it is skipped", || {
+    wait_until("the server is skipped", || {
         clients.push(rig.send_request("d=1500,g=a").0);
         loop {
             let client = clients.last_mut()?;
-            // Rejected where an answer came too late.
-            let (at, mut server) = wait_until("an attempt or an answer", || {
+            // The request is rejected if an answer was too late.
+            let (server_index, mut server) = wait_until("an attempt or an answer", || {
                 let mut servers = rig.servers.iter().enumerate();
-                let tried =
-                    servers.find_map(|(at, server)| Some((at, server.as_ref()?.accept().ok()?.0)));
-                tried
+                let attempted = servers.find_map(|(server_index, server)| {
+                    Some((server_index, server.as_ref()?.accept().ok()?.0))
+                });
+                attempted
                     .map(Some)
                     .or_else(|| (!client.is_quiet()).then_some(None))
             })
-            .map(|(at, stream)| (at, LineStream::new(stream)))?;
-            let fails = *failing.get_or_insert(at) == at;
+            .map(|(server_index, stream)| (server_index, LineStream::new(stream)))?;
+            let is_failing = *failing.get_or_insert(server_index) == server_index;
             match server.receive().starts_with("STATS") {
-                true if fails && answers_with_error => server.send("ERR\r\n"),
-                true if fails => {}
+                true if is_failing && answers_with_error => server.send("ERR\r\n"),
+                true if is_failing => {}
                 true => server.send("PONG rate=1,x0=0.1\r\n"),
                 false => {
                     server.send("UP r1\r\n");
                     assert_eq!(client.receive(), "UP r1");
-                    return (!fails).then_some(());
+                    return (!is_failing).then_some(());
                 }
             }
-            // A connection that is not answered ends here.
-            if !fails || answers_with_error {
+            // An unanswered connection is closed here.
+            if !is_failing || answers_with_error {
                 std::mem::forget(server);
             }
         }
--- a/crates/node/tests/mixed_builds.rs
+++ b/crates/node/tests/mixed_builds.rs
@@ -1,36 +1,36 @@
-//! The handoff between two builds of the node: the tested one and the one that `LUPINCRANK_OTHER_BUILD` names. Where the
-//! variable names none, both processes run the tested build. Nothing here depends on what a build logs.
+//! The handoff between two builds of the node: the tested one and the one that `LUPINCRANK_OTHER_BUILD` names. If the
+//! variable is not set, both processes run the tested build. No test here depends on the log of a build.
 
 mod common;
 use common::{admin_call_at, exchange_lines, Build, LineStream, Rig};
 use rstest::rstest;
 use std::time::Instant;
 
-/// Connections that stand while one process hands over to the other.
+/// Established connections during the handoff.
 const CONNECTION_COUNT: usize = 50;
 /// Connections that are opened after the handoff.
 const NEW_CONNECTION_COUNT: usize = 10;
-/// The server that is drained before any connection is opened, and its number at the rig.
+/// Index of the server that is drained before any connection is opened.
 const DRAINED_SERVER: usize = 0;
 
 /// A connection through the node.
-struct StandingConnection {
+struct EstablishedConnection {
     client: LineStream,
     server_index: usize,
     server: LineStream,
 }
 
-/// Opens a connection of a group of its own.
-fn connect(rig: &mut Rig, index: usize) -> StandingConnection {
+/// Opens a connection with its own group.
+fn connect(rig: &mut Rig, index: usize) -> EstablishedConnection {
     let (client, server_index, server) = rig.establish_in_group(&format!("group-{index}"));
-    StandingConnection {
+    EstablishedConnection {
         client,
         server_index,
         server,
     }
 }
 
-fn connect_many(rig: &mut Rig, count: usize) -> Vec<StandingConnection> {
+fn connect_many(rig: &mut Rig, count: usize) -> Vec<EstablishedConnection> {
     (0..count).map(|index| connect(rig, index)).collect()
 }
 
@@ -50,7 +50,7 @@
     let mut connections = connect_many(&mut rig, CONNECTION_COUNT);
     for connection in &mut connections {
         assert_ne!(connection.server_index, DRAINED_SERVER);
-        // A line without an answer and half a line of the server go over too.
+        // An unanswered line and half a line of the server are handed over too.
         connection.client.send("question\r\n");
         assert_eq!(connection.server.receive(), "question");
         connection.server.send("first\r\nans");
@@ -78,16 +78,16 @@
     }
     println!("{CONNECTION_COUNT} connections, none lost; {older:?} to {newer:?} in {duration:?}");
 
-    // The newer process knows of all of them: it moves them when it shuts down itself.
+    // The newer process holds all of the connections: it moves them at its own shutdown.
     rig.signal("-TERM");
     for mut connection in connections.into_iter().chain(new_connections) {
         assert_eq!(connection.client.receive(), "MOVE");
     }
 }
 
-/// Which process is told to drain a server while both run.
+/// The process that receives the drain call while both run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum CalledProcess {
     Older,
     Newer,
 }
@@ -98,27 +98,30 @@
 fn a_drain_reaches_the_process_of_the_other_build(
     #[case] older: Build,
     #[case] newer: Build,
-    #[values(Told::Older, Told::Newer)] told: Told,
+    #[values(CalledProcess::Older, CalledProcess::Newer)] called: CalledProcess,
 ) {
     let mut rig = Rig::start_build_with_inherited_listener(older, 2);
     let older_address = rig.admin_address();
     let mut connections = connect_many(&mut rig, 6);
     let drained = connections[0].server_index;
     start_successor(&mut rig, newer);
-    let address = match told {
-        Told::Older => older_address,
-        Told::Newer => rig.admin_address(),
+    let address = match called {
+        CalledProcess::Older => older_address,
+        CalledProcess::Newer => rig.admin_address(),
     };
     let call = format!("set-down s-{drained}\r\n");
     assert_eq!(admin_call_at(address, &call), "done");
-    // The older process holds the connections and sends those of the drained server away.
+    // The older process holds the connections and moves those of the drained server.
     for connection in &mut connections {
         if connection.server_index == drained {
             assert_eq!(connection.client.receive(), "MOVE");
         }
     }
     connections.retain(|connection| connection.server_index != drained);
-    assert!(!connections.is_empty(), "some are left to hand over");
+    assert!(
+        !connections.is_empty(),
+        "no connection is left to hand over"
+    );
     rig.terminate_predecessor();
     for connection in &mut connections {
         exchange_lines(&mut connection.client, &mut connection.server);
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -1,4 +1,4 @@
-//! What the staff do with a node that serves, on real sockets.
+//! Operation of a serving node by administrators, on real sockets.
 
 mod common;
 use common::{wait_until, Rig};
@@ -37,20 +37,20 @@
 }
 
 #[test]
-fn a_call_that_does_not_end_is_an_error_and_silent_callers_hold_up_nobody() {
+fn an_incomplete_call_is_an_error_and_silent_callers_delay_nobody() {
     let rig = Rig::start_with_descriptors(1, 256);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut half = rig.connect_admin();
     half.send("set-down s");
     let silent: Vec<_> = (0..300).map(|_| rig.connect_admin()).collect();
     for _ in 0..5 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(rig.admin_call("check\r\n"), "done");
-        assert!(began.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     }
     assert!(
         rig.open_descriptor_count() < 60,
-        "{} are held",
+        "{} descriptors are open",
         rig.open_descriptor_count()
     );
     assert!(rig
@@ -61,40 +61,40 @@
     half.send("set-down s");
     assert_eq!(half.receive(), "error no whole call came in time");
     assert!(
-        began.elapsed() > Duration::from_secs(4),
-        "it may stay for 4 s"
+        started_at.elapsed() > Duration::from_secs(4),
+        "an incomplete call is kept for 4 s"
     );
 }
 
 #[test]
-fn calls_are_answered_in_time_under_a_crowd_and_after_sigterm() {
+fn calls_are_answered_in_time_beside_many_connections_and_after_sigterm() {
     let mut rig = Rig::start_with_descriptors(1, 384);
-    let standing: Vec<_> = (0..20).map(|_| rig.establish()).collect();
-    let (mut crowd, mut slowest) = (Vec::new(), Duration::ZERO);
+    let established: Vec<_> = (0..20).map(|_| rig.establish()).collect();
+    let (mut connections, mut slowest) = (Vec::new(), Duration::ZERO);
     for round in 0..30 {
-        crowd.extend((0..40).map(|_| rig.connect_client()));
-        crowd
+        connections.extend((0..40).map(|_| rig.connect_client()));
+        connections
             .iter_mut()
             .rev()
             .take(20)
             .for_each(|client| client.send("OPEN 9b1f03"));
-        crowd.extend((0..2).map(|_| rig.connect_admin()));
+        connections.extend((0..2).map(|_| rig.connect_admin()));
         if round == 20 {
             rig.signal("-TERM");
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert!(["done", "error this process is ending"]
             .contains(&rig.admin_call("check\r\n").as_str()));
-        slowest = slowest.max(began.elapsed());
+        slowest = slowest.max(started_at.elapsed());
     }
     println!("slowest answer: {slowest:?}");
     assert!(slowest < Duration::from_secs(1), "{slowest:?}");
-    for (mut client, _, _) in standing {
-        assert_eq!(client.receive(), "MOVE", "nobody is cut off");
+    for (mut client, _, _) in established {
+        assert_eq!(client.receive(), "MOVE", "a client is cut off without MOVE");
     }
 }
 
-/// However the network cuts what is sent: a first line, a transcriber's answer and lines, and discovery's list.
+/// A first line, a server's answer and lines, and discovery's list may arrive cut at any byte.
 #[rstest]
 fn lines_may_be_cut_at_any_byte(#[values(1, 2, 7, 31)] piece: usize) {
     let mut rig = Rig::start(2);
@@ -102,42 +102,45 @@
         line.stream.set_nodelay(true).unwrap();
         text.as_bytes()
             .chunks(piece)
-            .for_each(|part| line.send(std::str::from_utf8(part).unwrap()));
+            .for_each(|chunk| line.send(std::str::from_utf8(chunk).unwrap()));
     };
     let mut client = rig.connect_client();
     cut(
         &mut client,
         "OPEN 00000000000000aa f c=chat,d=15000,g=a\r\n",
     );
-    let (at, mut peer) = rig.accept_attempt();
-    peer.receive();
-    cut(&mut peer, "LOAD 12\r\nUP r1\r\nLOAD 1500\r\nfirst\r\n");
+    let (server_index, mut server) = rig.accept_attempt();
+    server.receive();
+    cut(&mut server, "LOAD 12\r\nUP r1\r\nLOAD 1500\r\nfirst\r\n");
     assert_eq!(
         [client.receive(), client.receive(), client.receive()],
         ["UP r1", "LOAD 1500", "first"]
     );
     rig.wait_for_log("load observed, load_us: 1500");
     cut(&mut client, "second\r\n");
-    assert_eq!(peer.receive(), "second");
+    assert_eq!(server.receive(), "second");
     let mut watch = rig.watch.take().unwrap();
-    let host = format!(r#"{{"host":"s-{at}","dial":"127.0.0.1:1","health":"DRAINING"}}"#);
+    let host = format!(r#"{{"host":"s-{server_index}","dial":"127.0.0.1:1","health":"DRAINING"}}"#);
     let list = format!("{{\"seq\":5,\"whole\":false,\"hosts\":[{host}]}}\n");
     cut(&mut watch, &format!("{:x}\r\n{list}\r\n", list.len()));
     rig.wait_for_log("seq: 5");
 }
 
 #[test]
-fn the_command_line_makes_a_call_and_tells_by_its_exit_code() {
+fn the_command_line_makes_a_call_and_reports_its_result_by_exit_code() {
     let rig = Rig::start(1);
     let ask = |call: &[&str]| {
-        let mut run = std::process::Command::new(env!("CARGO_BIN_EXE_lupincrank"));
-        let run = run
+        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_lupincrank"));
+        let output = command
             .arg("manage")
             .arg(rig.admin_address().to_string())
             .args(call)
             .output()
             .unwrap();
-        (run.status.success(), String::from_utf8(run.stdout).unwrap())
+        (
+            output.status.success(),
+            String::from_utf8(output.stdout).unwrap(),
+        )
     };
     assert_eq!(ask(&["set-down", "s-0"]), (true, "done\n".into()));
     assert_eq!(
@@ -161,43 +164,43 @@
 }
 
 #[test]
-fn check_says_what_is_missing_until_discovery_has_told_the_list() {
+fn check_reports_an_error_until_discovery_has_sent_the_list() {
     let mut rig = Rig::launch(1, 1024);
     assert_eq!(
         rig.admin_call("check\r\n"),
         "error discovery has not told the list yet"
     );
     rig.accept_watch();
-    wait_until("done", || {
+    wait_until("the node can serve", || {
         (rig.admin_call("check\r\n") == "done").then_some(())
     });
 }
 
 #[test]
-fn what_is_out_by_hand_is_emptied_and_gets_nothing_until_it_is_called_back() {
+fn an_admin_drained_server_is_emptied_and_gets_no_requests_until_it_is_undrained() {
     let mut rig = Rig::start(2);
-    let (mut client, at, _peer) = rig.establish();
-    let down = format!("set-down s-{at}\r\n");
+    let (mut client, server_index, _server) = rig.establish();
+    let down = format!("set-down s-{server_index}\r\n");
     assert_eq!(
         [rig.admin_call(&down), rig.admin_call(&down)],
         ["done", "done"]
     );
     assert_eq!([client.receive(), client.receive()], ["MOVE", ""]);
-    // Whatever the list says of it meanwhile.
-    rig.announce_health(at, "DELETED", 2);
-    rig.announce_health(at, "SERVING", 3);
+    // The endpoint list does not end the drain, whatever it reports.
+    rig.announce_health(server_index, "DELETED", 2);
+    rig.announce_health(server_index, "SERVING", 3);
     rig.wait_for_log("seq: 3");
     let held: Vec<_> = (0..4).map(|_| rig.establish()).collect();
-    assert!(held.iter().all(|(_, to, _)| *to != at));
-    // A connection from before would be something new there too.
-    let (mut old, _) = rig.send_request(&format!("d=30000,g=a,at=s-{at}"));
+    assert!(held.iter().all(|(_, to, _)| *to != server_index));
+    // A restored connection would be a new one for the server, too.
+    let (mut old, _) = rig.send_request(&format!("d=30000,g=a,at=s-{server_index}"));
     assert_eq!(old.receive(), "BUSY");
     drop(held);
-    rig.undrain(at);
+    rig.undrain(server_index);
 }
 
 #[test]
-fn with_all_out_by_hand_a_request_is_refused_at_once() {
+fn with_all_servers_admin_drained_a_request_is_rejected_at_once() {
     let mut rig = Rig::start(2);
     for n in 0..2 {
         assert_eq!(rig.admin_call(&format!("set-down s-{n}\r\n")), "done");
@@ -205,11 +208,11 @@
     rig.wait_for_log("no server available");
     let (mut client, _) = rig.send_request("d=60000,g=a");
     assert!(client.receive().starts_with("BUSY "));
-    assert_eq!(rig.admin_call("check\r\n"), "done", "the process serves");
+    assert_eq!(rig.admin_call("check\r\n"), "done", "the process can serve");
 }
 
-/// Reloads with these classes and this many attempts.
-fn retune(rig: &Rig, classes: &[(&str, &str)], attempts: u32) {
+/// Reloads the configuration with these classes and this maximum number of attempts.
+fn reload_classes(rig: &Rig, classes: &[(&str, &str)], attempts: u32) {
     let mut config = rig.config.clone();
     let class = config["settings"]["Categories"][0].clone();
     let renamed = classes.iter().map(|(name, repeat)| {
@@ -229,50 +232,50 @@
 }
 
 #[test]
-fn new_classes_and_attempts_hold_for_what_comes_after_and_old_ones_for_what_is_there() {
+fn new_classes_and_attempts_apply_to_new_requests_and_old_ones_to_earlier_requests() {
     let mut rig = Rig::start(3);
-    let (mut stands, _, mut holder) = rig.establish();
-    let (mut waits, _) = rig.send_request("d=60000,g=a");
+    let (mut established, _, mut holder) = rig.establish();
+    let (mut waiting, _) = rig.send_request("d=60000,g=a");
     let (_, first) = rig.accept_attempt();
-    retune(&rig, &[("notes", "once"), ("chat", "once")], 1);
-    // It came when a second attempt was harmless, and three were allowed.
+    reload_classes(&rig, &[("notes", "once"), ("chat", "once")], 1);
+    // The request arrived when retries were allowed, with up to three attempts.
     drop(first);
     let (_, mut second) = rig.accept_attempt();
     second.receive();
     second.send("UP r2\r\n");
-    assert_eq!(waits.receive(), "UP r2");
-    // One that comes now may have run once the try is lost, and there is no other try.
-    let (mut now, _) = rig.send_request("d=60000,g=a");
+    assert_eq!(waiting.receive(), "UP r2");
+    // A request that arrives now may have been executed when its only attempt is lost, and no other attempt is allowed.
+    let (mut new_client, _) = rig.send_request("d=60000,g=a");
     let (_, mut only) = rig.accept_attempt();
     only.receive();
     drop(only);
-    assert_eq!(now.receive(), "ERR");
+    assert_eq!(new_client.receive(), "ERR");
     assert!(rig.has_no_attempt());
-    retune(&rig, &[("notes", "repeatable")], 3);
+    reload_classes(&rig, &[("notes", "repeatable")], 3);
     assert_eq!(
         rig.query("OPEN 00000000000000aa f c=chat,d=1500,g=a\r\n"),
         "ERR"
     );
     let mut notes = rig.connect_client();
     notes.send("OPEN 00000000000000ab f c=notes,d=1500,g=a\r\n");
-    let (_, mut peer) = rig.accept_attempt();
-    peer.receive();
-    peer.send("UP r3\r\n");
+    let (_, mut server) = rig.accept_attempt();
+    server.receive();
+    server.send("UP r3\r\n");
     assert_eq!(notes.receive(), "UP r3");
-    for (client, peer) in [
-        (&mut stands, &mut holder),
-        (&mut waits, &mut second),
-        (&mut notes, &mut peer),
+    for (client, server) in [
+        (&mut established, &mut holder),
+        (&mut waiting, &mut second),
+        (&mut notes, &mut server),
     ] {
         client.send("hello\r\n");
-        assert_eq!(peer.receive(), "hello");
-        peer.send("LOAD 1500\r\nhello\r\n");
+        assert_eq!(server.receive(), "hello");
+        server.send("LOAD 1500\r\nhello\r\n");
         assert_eq!([client.receive(), client.receive()], ["LOAD 1500", "hello"]);
     }
 }
 
 #[test]
-fn of_a_file_that_does_not_hold_nothing_is_taken() {
+fn nothing_of_an_invalid_configuration_is_applied() {
     let mut rig = Rig::start(1);
     let mut config = rig.config.clone();
     config["settings"]["Categories"][0]["Name"] = "other".into();
--- a/crates/node/tests/operation_limits.rs
+++ b/crates/node/tests/operation_limits.rs
@@ -1,4 +1,4 @@
-//! Lists, configurations and administrative calls at their limits: in a row, at odd moments, with trouble beside them.
+//! Lists, configurations and admin calls at their limits: repeated, at unusual times, and during other faults.
 
 mod common;
 use common::{wait_until, EchoServers, LineStream, Rig};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Nothing new goes to a server so long after this node was told that it drains.
+/// Time after the report of a drain from which a server gets no new requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// A drain lasts at least so long.
+/// Minimum length of a drain.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2200);
 
-/// Sends requests of many groups and gives how many came to each server; all are served.
+/// Sends requests of many groups, all of which must be served, and returns the number that each server received.
 fn spread(
     rig: &mut Rig,
     servers: &EchoServers,
@@ -32,13 +32,12 @@
         .collect()
 }
 
-/// A complete list without a server, and each state by which it is told to be left alone: nothing new goes there after the
-/// grace.
+/// A server that is missing in a complete list, draining or deleted gets no new requests after the grace period.
 #[rstest]
 #[case::left_out("")]
 #[case::drains("DRAINING")]
 #[case::gone("DELETED")]
-fn a_server_that_leaves_the_list_gets_nothing_new(#[case] health: &str) {
+fn a_removed_or_draining_server_gets_no_new_requests(#[case] health: &str) {
     let mut rig = Rig::start(3);
     rig.allow_long_delays();
     let servers = EchoServers::start(&rig);
@@ -54,10 +53,10 @@
     assert!(counts[0] > 0 && counts[1] > 0, "{counts:?}");
 }
 
-/// The first object of a watch is cut by the connection's end: nothing of it holds, and the next call asks from the version
-/// before it.
+/// The first object of a watch is truncated by the end of the connection: none of it is applied, and the next call asks for
+/// changes from the previous version.
 #[test]
-fn a_list_that_is_cut_by_the_end_of_the_watch_is_asked_for_again() {
+fn a_list_truncated_by_the_end_of_the_watch_is_requested_again() {
     let mut rig = Rig::start(2);
     rig.allow_long_delays();
     let servers = EchoServers::start(&rig);
@@ -71,7 +70,7 @@
     assert!(counts.iter().all(|count| *count > 0), "{counts:?}");
 }
 
-/// Two nodes that reach the same servers at different addresses place each key alike.
+/// Two nodes that reach the same servers at different addresses place each key on the same server.
 #[test]
 fn nodes_place_keys_alike_wherever_they_reach_the_servers() {
     let mut nodes = [Rig::start(5), Rig::start(5)];
@@ -82,7 +81,7 @@
     }
 }
 
-/// The server that a node chooses for a key while it holds nothing.
+/// The server that a node without connections chooses for a key.
 fn chosen_server(rig: &mut Rig, number: usize) -> usize {
     let (client, line) = rig.send_request(&format!("d=30000,g=key-{number}"));
     let id = line.split(' ').nth(1).unwrap();
@@ -93,7 +92,7 @@
     server_index
 }
 
-/// All clients of a server that drains by the list are told to move before its drain may be over.
+/// All clients of a server that the endpoint list marks as draining receive `MOVE` before its drain may be over.
 #[test]
 fn the_clients_of_a_draining_server_are_moved_before_it_may_stop() {
     let mut rig = Rig::start(3);
@@ -107,37 +106,37 @@
     }
     let draining = *clients.iter().max_by_key(|(_, held)| held.len()).unwrap().0;
     rig.announce_health(draining, "DRAINING", 2);
-    let told_at = Instant::now();
+    let announced_at = Instant::now();
     for (client, _server) in clients.get_mut(&draining).unwrap() {
         assert_eq!(client.receive(), "MOVE");
     }
     assert!(
-        told_at.elapsed() < MIN_DRAIN_TIME,
+        announced_at.elapsed() < MIN_DRAIN_TIME,
         "{:?}",
-        told_at.elapsed()
+        announced_at.elapsed()
     );
 }
 
-/// Configurations in a row move discovery on and on: the last address counts, and connections stay.
+/// Successive configurations change the address of discovery: the last one takes effect, and connections stay.
 #[test]
-fn of_configurations_in_a_row_the_last_one_counts() {
+fn the_last_of_successive_configurations_takes_effect() {
     let mut rig = Rig::start(1);
     let (mut client, _, mut server) = rig.establish();
     for _ in 0..5 {
         rig.move_discovery();
     }
     rig.accept_watch();
-    let told_at = Instant::now();
+    let announced_at = Instant::now();
     rig.announce_health(0, "DRAINING", 9);
     rig.wait_for_log("seq: 9");
-    assert!(told_at.elapsed() < Duration::from_secs(4));
+    assert!(announced_at.elapsed() < Duration::from_secs(4));
     if client.is_quiet() {
         common::exchange_lines(&mut client, &mut server);
     }
     assert!(rig.is_running());
 }
 
-/// SIGHUP in the first moments, before the node is ready, and many at once.
+/// Many SIGHUPs at once right after the start, before the node is ready, must not end the process.
 #[test]
 fn a_reload_before_the_node_is_ready_ends_nothing() {
     let mut rig = Rig::launch(1, 256);
@@ -150,9 +149,9 @@
     assert!(rig.is_running());
 }
 
-/// One call back is enough for two calls out; while it is out nothing that the list says brings it back.
+/// No change of the endpoint list ends an admin drain; one undrain call ends it, even after two drain calls.
 #[test]
-fn a_server_that_is_out_by_hand_stays_out_whatever_the_list_says() {
+fn an_admin_drain_holds_whatever_the_endpoint_list_reports() {
     let mut rig = Rig::start(2);
     rig.allow_long_delays();
     let servers = EchoServers::start(&rig);
@@ -174,34 +173,33 @@
     let counts = spread(&mut rig, &servers, 2, 10);
     assert_eq!(counts[0], 0, "after a restart: {counts:?}");
     assert_eq!(rig.admin_call("set-up s-0\r\n"), "done");
-    let called_back_at = Instant::now();
+    let undrained_at = Instant::now();
     let mut number = 0;
-    wait_until("it is used again", || {
-        // One that warms up may leave no room for some of them.
+    wait_until("the server is used again", || {
+        // A server that is warming up may not have capacity for all of them.
         number += 1;
         let (mut client, _) = rig.send_request(&format!("d=1000,g=again-{number}"));
         client.receive();
         (servers.first_line_count(0) > 0).then_some(())
     });
-    assert!(called_back_at.elapsed() < Duration::from_secs(5));
+    assert!(undrained_at.elapsed() < Duration::from_secs(5));
 }
 
-/// A call cut at any byte is one call.
+/// An admin call that arrives in pieces, cut at any byte, is one call.
 #[rstest]
-fn an_admin_call_may_be_cut_at_any_byte(#[values(1, 3, 7)] piece: usize) {
+fn an_admin_call_may_be_cut_at_any_byte(#[values(1, 3, 7)] chunk_size: usize) {
     let rig = Rig::start(1);
     let mut caller = rig.connect_admin();
     caller.stream.set_nodelay(true).unwrap();
-    for part in "set-down s-0\r\n".as_bytes().chunks(piece) {
-        caller.send(std::str::from_utf8(part).unwrap());
+    for chunk in "set-down s-0\r\n".as_bytes().chunks(chunk_size) {
+        caller.send(std::str::from_utf8(chunk).unwrap());
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(caller.receive(), "done");
     assert_eq!(caller.receive(), "");
 }
 
-/// A second process is ready within 6 s also where discovery is down or hangs, and nobody is turned away at the door
-/// meanwhile.
+/// A second process is ready within 6 s even if discovery is down or hangs, and no new connection is refused meanwhile.
 #[rstest]
 #[case::down(true)]
 #[case::hangs(false)]
@@ -232,19 +230,19 @@
     assert_eq!(answers.keys().collect::<Vec<_>>(), ["UP"], "{answers:?}");
 }
 
-/// Connections that come while one process hands over to the next all get their answer.
+/// Connections that arrive during a handoff are all answered.
 #[test]
-fn nobody_is_turned_away_at_the_door_in_a_handover() {
+fn no_new_connection_is_refused_during_a_handoff() {
     let mut rig = Rig::start_with_inherited_listener(2);
     rig.allow_long_delays();
     let _servers = EchoServers::start(&rig);
     let address = rig.client_address();
     let clients = std::thread::spawn(move || {
         let mut answers: BTreeMap<String, usize> = BTreeMap::new();
-        let began = Instant::now();
-        let mut standing = Vec::new();
+        let started_at = Instant::now();
+        let mut established = Vec::new();
         for number in 0u64.. {
-            if began.elapsed() > Duration::from_secs(4) {
+            if started_at.elapsed() > Duration::from_secs(4) {
                 break;
             }
             let mut client = LineStream::new(std::net::TcpStream::connect(address).unwrap());
@@ -258,7 +256,7 @@
             *answers
                 .entry(answer.split(' ').next().unwrap().to_string())
                 .or_default() += 1;
-            standing.push(client);
+            established.push(client);
             std::thread::sleep(Duration::from_millis(8));
         }
         answers
--- a/crates/node/tests/process_limits.rs
+++ b/crates/node/tests/process_limits.rs
@@ -1,4 +1,4 @@
-//! What the process takes of the machine at its limits: descriptors, memory, sockets that listen, its standard streams.
+//! The node's use of resources at their limits: descriptors, memory, listening sockets, standard streams.
 
 mod common;
 use common::{wait_until, EchoServers, LineStream, Rig};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The state of a socket that listens, in the kernel's table.
+/// The state of a listening socket in the kernel's table.
 const TCP_LISTEN: &str = "0A";
 
 /// The number of descriptors that a process holds.
@@ -17,7 +17,7 @@
     std::fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, Iterator::count)
 }
 
-/// The most memory that a process has held, in KiB.
+/// The peak memory of a process, in KiB.
 fn peak_memory_kib(process_id: u32) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -28,23 +28,23 @@
         .unwrap()
 }
 
-/// Samples the descriptors of a process until it is dropped.
+/// Samples the number of descriptors of a process until this value is dropped.
 struct DescriptorWatch {
-    most: Arc<AtomicUsize>,
+    max_count: Arc<AtomicUsize>,
     is_stopped: Arc<AtomicBool>,
 }
 
 impl DescriptorWatch {
     fn start(process_id: u32) -> DescriptorWatch {
         let watch = DescriptorWatch {
-            most: Arc::default(),
+            max_count: Arc::default(),
             is_stopped: Arc::default(),
         };
-        let most = Arc::clone(&watch.most);
+        let max_count = Arc::clone(&watch.max_count);
         let is_stopped = Arc::clone(&watch.is_stopped);
         std::thread::spawn(move || {
             while !is_stopped.load(Ordering::Relaxed) {
-                most.fetch_max(descriptor_count(process_id), Ordering::Relaxed);
+                max_count.fetch_max(descriptor_count(process_id), Ordering::Relaxed);
             }
         });
         watch
@@ -57,10 +57,12 @@
     }
 }
 
-/// Clients, silent connections and admin calls in crowds: never more descriptors than the configuration allows, and every
-/// request has its answer.
+/// Many clients, silent connections and admin calls never use more descriptors than the configuration allows, and every
+/// request is answered.
 #[rstest]
-fn a_crowd_never_takes_more_descriptors_than_allowed(#[values(64, 128, 256)] descriptors: usize) {
+fn many_connections_never_use_more_descriptors_than_allowed(
+    #[values(64, 128, 256)] descriptors: usize,
+) {
     let mut rig = Rig::start_changed(3, descriptors, None, |_| {});
     rig.allow_long_delays();
     let _servers = EchoServers::start(&rig);
@@ -79,9 +81,9 @@
         );
         clients.push(client);
     }
-    let most = watch.most.load(Ordering::Relaxed);
-    println!("{most} descriptors of {descriptors}");
-    assert!(most <= descriptors, "{most} of {descriptors}");
+    let max_count = watch.max_count.load(Ordering::Relaxed);
+    println!("{max_count} descriptors of {descriptors}");
+    assert!(max_count <= descriptors, "{max_count} of {descriptors}");
     drop((silent, callers, clients));
     wait_until("a client is served", || {
         let (mut client, _) = rig.send_request("d=1500,g=a");
@@ -89,7 +91,7 @@
     });
 }
 
-/// Values of 60 MB and clients that read nothing stay within the memory of the configuration.
+/// A value of 60 MB and a client that reads nothing stay within the configured memory.
 #[test]
 fn floods_stay_within_the_memory_of_the_configuration() {
     const MEMORY_MB: usize = 24;
@@ -122,7 +124,7 @@
     assert!(peak < MEMORY_MB << 10, "{peak} KiB");
 }
 
-/// Ports on which a process listens.
+/// The ports on which a process listens.
 fn listening_ports(process_id: u32) -> Vec<u16> {
     let descriptors = std::fs::read_dir(format!("/proc/{process_id}/fd")).unwrap();
     let sockets: Vec<String> = descriptors
@@ -149,7 +151,7 @@
     ports
 }
 
-/// The files that a process has open, save its standard streams: those are whatever the caller of the tests has.
+/// The open files of a process except its standard streams, which are inherited from the caller of the tests.
 fn opened_files(process_id: u32) -> Vec<String> {
     const STANDARD_STREAMS: [&str; 3] = ["0", "1", "2"];
     std::fs::read_dir(format!("/proc/{process_id}/fd"))
@@ -162,9 +164,9 @@
         .collect()
 }
 
-/// The node listens at its address only, and at the admin address where the configuration names one; it writes no file.
+/// The node listens only at its address and at the admin address if the configuration names one; it writes no file.
 #[rstest]
-fn the_process_listens_only_where_it_is_told_and_writes_no_file(
+fn the_process_listens_only_at_configured_addresses_and_writes_no_file(
     #[values(true, false)] has_admin_address: bool,
 ) {
     let rig = Rig::start_changed(1, 256, None, |config| {
@@ -183,9 +185,9 @@
     assert_eq!(opened_files(rig.process_id()), Vec::<String>::new());
 }
 
-/// The log's reader may go: the node serves on.
+/// The reader of the log closes its pipe: writes of the log fail, and the node has to keep serving.
 #[test]
-fn a_log_that_nobody_reads_ends_nothing() {
+fn a_node_whose_log_has_no_reader_keeps_serving() {
     let rig = Rig::start(1);
     let mut config = rig.config.clone();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -205,19 +207,22 @@
         .unwrap();
     drop(process.stderr.take());
     for _ in 0..50 {
-        let mut client = LineStream::new(wait_until("it listens", || {
+        let mut client = LineStream::new(wait_until("the node listens", || {
             std::net::TcpStream::connect(address).ok()
         }));
         client.send("HELLO\r\n");
         assert_eq!(client.receive(), "ERR");
     }
-    assert!(process.try_wait().unwrap().is_none(), "it serves on");
+    assert!(
+        process.try_wait().unwrap().is_none(),
+        "the node keeps serving"
+    );
     process.kill().unwrap();
     process.wait().unwrap();
     let _ = std::fs::remove_file(path);
 }
 
-/// With no descriptor left the process waits: it does not spin on a listener that stays ready.
+/// Without a free descriptor the process must not spin on a listener that stays ready.
 #[test]
 fn a_process_without_descriptors_does_not_spin() {
     let rig = Rig::start_changed(1, 64, None, |_| {});
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at the limits of the protocol: how often they are sent and where, what is answered, and when.
+//! Requests at the limits of the protocol: the number of attempts, their servers, the answers and their timing.
 
 mod common;
 use common::{reset_connection, wait_until, EchoServers, LineStream, Rig};
@@ -10,10 +10,11 @@
 const LONG_NS: u64 = 20_000 * NS_PER_MS;
 /// The longest line, its terminator included.
 const MAX_LINE_BYTES: usize = 4096;
-/// An answer may come so long after the request's time.
+/// Allowed delay of an answer after the request's deadline.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// A node whose class has this effect, whose attempts wait for their answers to the end, and that makes so many of them.
+/// Starts a node whose class allows retries as `effect` names, and whose attempts, `max_attempts` at most, wait for their
+/// answers until the deadline.
 fn start(server_count: usize, effect: &str, group: &str, max_attempts: u32) -> Rig {
     Rig::start_with_config(server_count, |config| {
         let settings = &mut config["settings"];
@@ -25,14 +26,14 @@
     })
 }
 
-/// What a server does with the first attempt, once it has read the whole line.
+/// The server's reaction to the first attempt, once it has read the complete line.
 #[derive(Clone, Copy, Debug)]
 enum Answer {
     Busy,
     Error,
     Move,
     Nonsense,
-    Ends,
+    Closes,
     Resets,
 }
 
@@ -43,32 +44,32 @@
             Answer::Error => server.send("ERR\r\n"),
             Answer::Move => server.send("MOVE\r\n"),
             Answer::Nonsense => server.send("what?\r\n"),
-            Answer::Ends => server.stream.shutdown(Shutdown::Both).unwrap(),
+            Answer::Closes => server.stream.shutdown(Shutdown::Both).unwrap(),
             Answer::Resets => reset_connection(server),
         }
     }
 }
 
-/// What the client sees then.
+/// The expected result for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Expected {
-    /// Another attempt serves it.
+    /// Another attempt serves the request.
     Retried,
-    /// Nothing proves that it was not executed: it fails.
+    /// The request fails, because nothing proves that it was not executed.
     Failed,
 }
 
-/// Which outcomes allow another attempt: an outcome that proves nothing allows none for `once`.
+/// Outcomes that allow another attempt. For `once`, only an outcome that proves that the request was not executed does.
 #[rstest]
 #[case::once_busy("once", "all", Answer::Busy, Expected::Retried)]
 #[case::once_error("once", "all", Answer::Error, Expected::Failed)]
 #[case::once_move("once", "all", Answer::Move, Expected::Failed)]
 #[case::once_nonsense("once", "all", Answer::Nonsense, Expected::Failed)]
-#[case::once_ends("once", "all", Answer::Ends, Expected::Failed)]
+#[case::once_ends("once", "all", Answer::Closes, Expected::Failed)]
 #[case::once_resets("once", "all", Answer::Resets, Expected::Failed)]
 #[case::repeatable_busy("repeatable", "all", Answer::Busy, Expected::Retried)]
 #[case::repeatable_error("repeatable", "all", Answer::Error, Expected::Retried)]
-#[case::repeatable_ends("repeatable", "all", Answer::Ends, Expected::Retried)]
+#[case::repeatable_ends("repeatable", "all", Answer::Closes, Expected::Retried)]
 #[case::repeatable_resets("repeatable", "all", Answer::Resets, Expected::Retried)]
 #[case::by_key_error("by_key", "all", Answer::Error, Expected::Retried)]
 #[case::by_key_resets("by_key", "all", Answer::Resets, Expected::Retried)]
@@ -88,7 +89,7 @@
     match expected {
         Expected::Failed => {
             assert_eq!(client.receive(), "ERR");
-            assert_eq!(client.receive(), "", "one answer, and the end");
+            assert_eq!(client.receive(), "", "one answer, then the close");
             assert!(rig.has_no_attempt(), "no other attempt");
         }
         Expected::Retried => {
@@ -101,8 +102,8 @@
     }
 }
 
-/// Where the settings say that answers carry load reports, a rejection that closes with one proves that nothing ran; a
-/// damaged report, or one that no settings speak of, proves nothing.
+/// If the settings announce load reports in answers, a rejection with a valid report proves that nothing was executed; a
+/// damaged or unannounced report proves nothing.
 #[rstest]
 #[case::whole("inline", "BUSY rate=2,x0=0.3", Expected::Retried)]
 #[case::without_report("inline", "BUSY", Expected::Retried)]
@@ -135,7 +136,7 @@
     }
 }
 
-/// A retry by key stays in the zone or the cell of the server that may have executed the request.
+/// A retry by key stays in the zone or cell of the server that may have executed the request.
 #[rstest]
 fn a_retry_by_key_stays_in_its_group(
     #[values("zone", "cell")] group: &str,
@@ -164,7 +165,7 @@
     assert_eq!(client.receive(), "UP r2");
 }
 
-/// However many servers there are, a request is sent as often as the settings allow, and answered at once then.
+/// A request is sent as often as the settings allow, even if there are more servers, and is then answered at once.
 #[rstest]
 fn a_request_is_sent_as_often_as_the_settings_allow(#[values(1, 2, 3, 5)] max_attempts: u32) {
     let mut rig = start(7, "repeatable", "all", max_attempts);
@@ -180,14 +181,14 @@
     let waited = last_answer_at.elapsed();
     assert!(
         waited < Duration::from_millis(200),
-        "given up, and answered after {waited:?}"
+        "answered {waited:?} after the last attempt"
     );
     assert!(rig.has_no_attempt());
 }
 
-/// A second answer that comes after the attempt has ended reaches nobody.
+/// A second answer that arrives after the attempt has ended is dropped.
 #[test]
-fn a_second_answer_of_an_ended_attempt_reaches_nobody() {
+fn a_second_answer_of_an_ended_attempt_is_dropped() {
     let mut rig = start(2, "repeatable", "all", 3);
     let (mut client, _) = rig.send_request("d=3000,g=a");
     let (_, mut first) = rig.accept_attempt();
@@ -202,7 +203,7 @@
     assert_eq!(client.receive(), "fresh line");
 }
 
-/// A request with little or no time left is answered in time, though its server says nothing.
+/// A request with little or no time left is answered in time even if its server sends nothing.
 #[rstest]
 fn a_request_with_little_time_left_is_answered_in_time(
     #[values(0, 1, 5, 50, 149, 150, 300, 800)] wait_ms: u64,
@@ -218,12 +219,12 @@
         waited < Duration::from_millis(wait_ms) + ANSWER_SLACK / 2,
         "{waited:?}"
     );
-    assert_eq!(client.receive(), "", "one answer, and the end");
+    assert_eq!(client.receive(), "", "one answer, then the close");
 }
 
-/// A node that is held up over the moment of the deadline still answers in time.
+/// A node that is paused while a deadline expires still answers in time.
 #[test]
-fn a_node_that_is_held_up_over_a_deadline_answers_in_time() {
+fn a_node_that_is_paused_over_a_deadline_answers_in_time() {
     let mut rig = start(1, "repeatable", "all", 1);
     let (mut client, _) = rig.send_request("d=600,g=a");
     let sent_at = Instant::now();
@@ -237,7 +238,7 @@
     assert!(sent_at.elapsed() < Duration::from_millis(600) + ANSWER_SLACK);
 }
 
-/// A connect that does not come up ends within the connect timeout of the settings.
+/// A connect that gets no reply ends with the connect timeout of the settings.
 #[test]
 fn a_connect_ends_with_the_connect_timeout_of_the_settings() {
     let mut rig = Rig::start(1);
@@ -248,7 +249,10 @@
     let _full_backlog = rig.fill_backlog(0);
     let (mut client, _) = rig.send_request("d=5000,g=a");
     let sent_at = Instant::now();
-    assert!(client.receive().starts_with("BUSY"), "it was never sent");
+    assert!(
+        client.receive().starts_with("BUSY"),
+        "the request was never sent"
+    );
     let waited = sent_at.elapsed();
     assert!(waited > Duration::from_millis(900), "{waited:?}");
     assert!(waited < Duration::from_millis(1700), "{waited:?}");
@@ -260,10 +264,10 @@
     field.unwrap().parse().unwrap()
 }
 
-/// The server is told how long the node will wait from then on: the time that connecting took is not in it, and a retry is
-/// told less than the attempt before it.
+/// The forwarded line contains the time that the node still waits: the time spent on connecting is subtracted, and a retry
+/// has less time than the attempt before it.
 #[test]
-fn a_server_is_told_the_time_that_is_left_when_the_line_is_sent() {
+fn a_forwarded_line_contains_the_time_that_is_left_when_it_is_sent() {
     let mut rig = Rig::start(1);
     rig.change_settings(|settings| {
         settings["Limits"]["ConnectTimeoutNs"] = LONG_NS.into();
@@ -275,14 +279,17 @@
     rig.wait_for_log("request received");
     std::thread::sleep(Duration::from_millis(900).saturating_sub(sent_at.elapsed()));
     let mut server = full_backlog.release();
-    let told = wait_field(&server.receive());
+    let forwarded = wait_field(&server.receive());
     let left = 5000 - sent_at.elapsed().as_millis() as u64;
-    assert!(told <= left + 30, "told {told} ms, {left} ms are left");
+    assert!(
+        forwarded <= left + 30,
+        "sent {forwarded} ms, {left} ms are left"
+    );
 }
 
-/// The id of a request that is open is an error, and the open one goes on, be it waiting or established.
+/// A request with the id of an open request gets an error, and the open request, waiting or established, is unaffected.
 #[rstest]
-fn the_id_of_an_open_request_is_an_error_and_the_open_one_goes_on(
+fn the_id_of_an_open_request_is_an_error_and_the_open_request_is_unaffected(
     #[values(true, false)] is_established: bool,
 ) {
     let mut rig = start(2, "repeatable", "all", 3);
@@ -294,7 +301,7 @@
         assert_eq!(client.receive(), "UP r1");
     }
     assert_eq!(rig.query(&format!("{line}\r\n")), "ERR");
-    assert!(rig.has_no_attempt(), "the second one is sent nowhere");
+    assert!(rig.has_no_attempt(), "the second request is not sent");
     if !is_established {
         server.send("UP r1\r\n");
         assert_eq!(client.receive(), "UP r1");
@@ -302,7 +309,7 @@
     common::exchange_lines(&mut client, &mut server);
 }
 
-/// The longest first line passes unchanged, one byte more is an error.
+/// The longest first line is forwarded unchanged; one more byte is an error.
 #[test]
 fn the_longest_first_line_passes_and_a_longer_one_is_an_error() {
     let rig = start(1, "repeatable", "all", 3);
@@ -329,7 +336,7 @@
     assert!(rig.has_no_attempt());
 }
 
-/// Fields that the node does not know are passed on; marks of retries and reconnects are no error.
+/// Fields that the node does not know are forwarded; marks of retries and reconnects are valid.
 #[rstest]
 #[case::retry("d=3000,g=a,r=1")]
 #[case::reconnect("d=3000,g=a,again=1")]
@@ -350,18 +357,18 @@
     assert_eq!(client.receive(), "UP r1");
 }
 
-/// A connection that stood before the run is taken to its server for as long as that may still come up.
+/// A restored connection is attempted at its server for as long as the server may still start.
 #[test]
 fn a_restored_connection_is_attempted_until_its_server_is_up() {
     let mut rig = start(2, "repeatable", "all", 3);
     let full_backlog = rig.fill_backlog(1);
     let (mut client, _) = rig.send_request("d=30000,g=a,at=s-1");
     let sent_at = Instant::now();
-    // Three connects of 150 ms and the pauses between them are long over.
+    // By then three connects of 150 ms and the pauses between them have passed.
     std::thread::sleep(Duration::from_secs(3));
-    assert!(client.is_quiet(), "given up: {}", client.receive());
+    assert!(client.is_quiet(), "abandoned: {}", client.receive());
     drop(full_backlog.release());
-    let mut server = wait_until("a connection that carries the line", || {
+    let mut server = wait_until("a connection with the line", || {
         let (server_index, mut server) = rig.accept_attempt();
         assert_eq!(server_index, 1, "no other server");
         let line = server.try_receive()?;
@@ -372,9 +379,9 @@
     assert!(sent_at.elapsed() < Duration::from_secs(10));
 }
 
-/// Beside bad clients and servers that hang, every good request has one answer in time.
+/// Every valid request has one answer in time, despite bad clients and servers that hang.
 #[test]
-fn trouble_with_others_frees_no_request_of_its_answer() {
+fn every_valid_request_is_answered_despite_bad_clients_and_hanging_servers() {
     let mut rig = start(4, "repeatable", "all", 3);
     let _full_backlog = rig.fill_backlog(3);
     let _servers = EchoServers::start(&rig);
--- a/crates/node/tests/shutdown.rs
+++ b/crates/node/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM up to the earliest SIGKILL: clients use their connections all the while, and every request gets its answer.
+//! Shutdown, from SIGTERM to the earliest SIGKILL: clients keep using their connections, and every request is answered.
 
 mod common;
 use common::{wait_until, EchoServers, LineStream, Rig, SyscallFaults};
@@ -8,38 +8,38 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// SIGKILL may come so long after the longest deadline, which counts as `MAX_DEADLINE_MS` at the most.
+/// The earliest SIGKILL comes this long after the longest deadline, which counts as `MAX_DEADLINE_MS` at most.
 const KILL_DELAY_MS: u64 = 700;
 const MAX_DEADLINE_MS: u64 = 3000;
-/// New connections keep coming for so long after SIGTERM.
+/// New connections keep arriving for this long after SIGTERM.
 const NEW_CONNECTIONS_MS: u64 = 400;
 const NEW_CLIENTS: usize = 10;
-/// How many descriptors the node may use.
+/// Limit of the node's descriptors.
 const DESCRIPTORS: usize = 1024;
-/// How long the connections that are relayed may take to be set up before SIGTERM, on a machine that has much to do.
+/// Time limit for the setup of the relays before SIGTERM, long enough for a busy machine.
 const RELAY_SETUP_MS: u64 = 15_000;
-/// Ids that the rig does not give.
+/// Request ids from here on are not used by the rig.
 const FIRST_REQUEST_ID: u64 = 1 << 32;
-/// The standard number of seeds; the variable names another one for a long run by hand.
+/// The default number of seeds; the variable sets another one for a long manual run.
 const SOAK_SEEDS: u64 = 4;
 const SOAK_SEEDS_VARIABLE: &str = "LUPINCRANK_SOAK_SEEDS";
 const NS_PER_MS: u64 = 1_000_000;
 
-/// Signals that follow SIGTERM.
+/// The signal that follows SIGTERM.
 #[derive(Clone, Copy, Debug)]
-enum Series {
+enum LaterSignal {
     None,
     SecondTermination,
     Reload,
     ReloadWithShorterDeadline,
 }
 
-/// What is played during one shutdown.
+/// The connections and signals of one shutdown.
 struct Plan {
     longest_deadline_ms: u64,
-    series: Series,
+    later_signal: LaterSignal,
     relays: usize,
-    resting: usize,
+    idle: usize,
     /// Connections that never send anything.
     silent: usize,
 }
@@ -51,7 +51,7 @@
     settings["FamilyInfo"]["MessageAimNs"] = vec![20_000 * NS_PER_MS].into();
 }
 
-/// Sends lines one after the other until the client is told to move; panics where a line is lost or changed.
+/// Sends lines one after the other until the client receives `MOVE`; panics if a line is lost or changed.
 fn exchange_until_moved(mut client: LineStream) -> JoinHandle<()> {
     std::thread::spawn(move || {
         for number in 0.. {
@@ -68,12 +68,12 @@
     })
 }
 
-/// A client that sends its first line at a drawn moment; what became of it.
+/// The outcome for a client that sends its first line at a random time.
 #[derive(Debug, PartialEq, Eq)]
-enum Fate {
+enum RequestOutcome {
     Answered,
-    /// The node had ended the connection before the line was sent.
-    ClosedBefore,
+    /// The node had closed the connection before the line was sent.
+    ClosedBeforeSend,
     Lost,
 }
 
@@ -85,19 +85,19 @@
     client.try_send(&line).ok()
 }
 
-fn fate(client: &mut LineStream, was_sent: bool) -> Fate {
+fn request_outcome(client: &mut LineStream, was_sent: bool) -> RequestOutcome {
     match client.try_receive() {
         Some(line) if ["UP", "BUSY", "ERR"].contains(&line.split(' ').next().unwrap()) => {
-            Fate::Answered
+            RequestOutcome::Answered
         }
-        _ if was_sent => Fate::Lost,
-        _ => Fate::ClosedBefore,
+        _ if was_sent => RequestOutcome::Lost,
+        _ => RequestOutcome::ClosedBeforeSend,
     }
 }
 
-/// Plays one shutdown with these seeded moments, and gives what became of the requests.
-fn play(plan: &Plan, seed: u64) -> Vec<Fate> {
-    let mut random = StdRng::seed_from_u64(seed);
+/// Runs one shutdown with send times from this seed, and returns the outcomes of the requests.
+fn run_shutdown(plan: &Plan, seed: u64) -> Vec<RequestOutcome> {
+    let mut rng = StdRng::seed_from_u64(seed);
     let deadline_ms = plan.longest_deadline_ms;
     let mut rig = Rig::start_with_config(3, |config| set_deadline(config, deadline_ms));
     let servers = EchoServers::start(&rig);
@@ -110,43 +110,43 @@
         .collect();
     let _silent: Vec<_> = (0..plan.silent).map(|_| rig.connect_client()).collect();
     let kill_ms = deadline_ms.min(MAX_DEADLINE_MS) + KILL_DELAY_MS;
-    let mut moments: Vec<(u64, Option<LineStream>)> = (0..plan.resting)
-        .map(|_| (random.random_range(0..kill_ms), Some(rig.connect_client())))
+    let mut sends: Vec<(u64, Option<LineStream>)> = (0..plan.idle)
+        .map(|_| (rng.random_range(0..kill_ms), Some(rig.connect_client())))
         .collect();
-    moments.extend((0..NEW_CLIENTS).map(|_| (random.random_range(0..NEW_CONNECTIONS_MS), None)));
-    moments.sort_by_key(|(at, _)| *at);
-    wait_until("all are accepted", || {
-        (rig.open_descriptor_count() > plan.resting + plan.silent + 2 * plan.relays).then_some(())
+    sends.extend((0..NEW_CLIENTS).map(|_| (rng.random_range(0..NEW_CONNECTIONS_MS), None)));
+    sends.sort_by_key(|(send_ms, _)| *send_ms);
+    wait_until("all connections are accepted", || {
+        (rig.open_descriptor_count() > plan.idle + plan.silent + 2 * plan.relays).then_some(())
     });
     let exit = rig.watch_exit();
     let started_at = Instant::now();
     rig.signal("-TERM");
-    let second_signal_at = Duration::from_millis(random.random_range(20..200));
-    let mut series = Some(plan.series);
+    let second_signal_after = Duration::from_millis(rng.random_range(20..200));
+    let mut later_signal = Some(plan.later_signal);
     let mut sent = Vec::new();
-    for (number, (at, client)) in moments.into_iter().enumerate() {
-        let at = Duration::from_millis(at);
-        if at >= second_signal_at {
-            if let Some(series) = series.take() {
-                send_series(&mut rig, series, deadline_ms);
+    for (number, (send_ms, client)) in sends.into_iter().enumerate() {
+        let send_after = Duration::from_millis(send_ms);
+        if send_after >= second_signal_after {
+            if let Some(later_signal) = later_signal.take() {
+                send_later_signal(&mut rig, later_signal, deadline_ms);
             }
         }
-        std::thread::sleep(at.saturating_sub(started_at.elapsed()));
+        std::thread::sleep(send_after.saturating_sub(started_at.elapsed()));
         let mut client = client.unwrap_or_else(|| rig.connect_client());
         let was_sent = send_first_line(&mut client, FIRST_REQUEST_ID + number as u64, deadline_ms);
         sent.push((client, was_sent.is_some()));
     }
-    let fates = sent
+    let outcomes = sent
         .iter_mut()
-        .map(|(client, was_sent)| fate(client, *was_sent))
+        .map(|(client, was_sent)| request_outcome(client, *was_sent))
         .collect();
-    // The clients hold their connections to the end: the process must not wait for them.
+    // The clients keep their connections open: the process must exit without waiting for them.
     assert!(rig.wait_for_exit().success());
     drop(sent);
     let took = exit.join().unwrap() - started_at;
     assert!(
         took < Duration::from_millis(kill_ms),
-        "killed before: {took:?}"
+        "exit after the earliest SIGKILL: {took:?}"
     );
     for relay in relays {
         relay.join().unwrap();
@@ -156,15 +156,15 @@
     ids.sort_unstable();
     ids.dedup();
     assert_eq!(ids.len(), first_lines.len(), "a request was sent twice");
-    fates
+    outcomes
 }
 
-fn send_series(rig: &mut Rig, series: Series, deadline_ms: u64) {
-    match series {
-        Series::None => {}
-        Series::SecondTermination => rig.signal("-TERM"),
-        Series::Reload => rig.signal("-HUP"),
-        Series::ReloadWithShorterDeadline => {
+fn send_later_signal(rig: &mut Rig, later_signal: LaterSignal, deadline_ms: u64) {
+    match later_signal {
+        LaterSignal::None => {}
+        LaterSignal::SecondTermination => rig.signal("-TERM"),
+        LaterSignal::Reload => rig.signal("-HUP"),
+        LaterSignal::ReloadWithShorterDeadline => {
             set_deadline(&mut rig.config, deadline_ms / 2);
             rig.reload_config(&rig.config.to_string());
         }
@@ -175,26 +175,29 @@
 fn every_request_is_answered_until_the_earliest_kill(
     #[values(300, 500, 1000, 3000, 10_000)] longest_deadline_ms: u64,
     #[values(
-        Series::None,
-        Series::SecondTermination,
-        Series::Reload,
-        Series::ReloadWithShorterDeadline
+        LaterSignal::None,
+        LaterSignal::SecondTermination,
+        LaterSignal::Reload,
+        LaterSignal::ReloadWithShorterDeadline
     )]
-    series: Series,
+    later_signal: LaterSignal,
 ) {
     let plan = Plan {
         longest_deadline_ms,
-        series,
+        later_signal,
         relays: 10,
-        resting: 40,
+        idle: 40,
         silent: 0,
     };
-    let fates = play(&plan, longest_deadline_ms);
-    let lost = fates.iter().filter(|fate| **fate == Fate::Lost).count();
-    assert_eq!(lost, 0, "{fates:?}");
+    let outcomes = run_shutdown(&plan, longest_deadline_ms);
+    let lost = outcomes
+        .iter()
+        .filter(|request_outcome| **request_outcome == RequestOutcome::Lost)
+        .count();
+    assert_eq!(lost, 0, "{outcomes:?}");
 }
 
-/// A node that holds nothing listens on for as long as new connections may come after SIGTERM.
+/// A node without connections keeps listening for as long as new ones may arrive after SIGTERM.
 #[rstest]
 fn a_node_without_clients_answers_those_that_come_after_sigterm(
     #[values(300, 3000)] deadline_ms: u64,
@@ -219,16 +222,16 @@
     assert!(rig.wait_for_exit().success());
 }
 
-/// A configuration with another longest deadline came before SIGTERM: the shorter one counts for the kill.
+/// A configuration with another longest deadline is loaded before SIGTERM: SIGKILL may come by the shorter one.
 #[rstest]
 #[case::shorter(3000, 500)]
 #[case::longer(500, 3000)]
-fn of_two_longest_deadlines_the_shorter_one_counts_for_the_kill(
+fn the_shorter_of_two_longest_deadlines_decides_the_exit(
     #[case] before_ms: u64,
     #[case] after_ms: u64,
 ) {
     let mut rig = Rig::start_with_config(1, |config| set_deadline(config, before_ms));
-    let _resting: Vec<_> = (0..5).map(|_| rig.connect_client()).collect();
+    let _idle: Vec<_> = (0..5).map(|_| rig.connect_client()).collect();
     set_deadline(&mut rig.config, after_ms);
     rig.reload_config(&rig.config.to_string());
     rig.wait_for_log("configuration reloaded");
@@ -243,53 +246,56 @@
     );
 }
 
-/// Seeded shutdowns in a row, each other one with a crowd that says nothing.
+/// Successive seeded shutdowns, every other one with many connections that send nothing.
 #[test]
 fn soak_of_shutdowns_loses_no_request() {
     let seeds =
         std::env::var(SOAK_SEEDS_VARIABLE).map_or(SOAK_SEEDS, |seeds| seeds.parse().unwrap());
     let mut lost = Vec::new();
     for seed in 1..=seeds {
-        let mut random = StdRng::seed_from_u64(seed);
-        let all_series = [
-            Series::None,
-            Series::SecondTermination,
-            Series::Reload,
-            Series::ReloadWithShorterDeadline,
+        let mut rng = StdRng::seed_from_u64(seed);
+        let later_signals = [
+            LaterSignal::None,
+            LaterSignal::SecondTermination,
+            LaterSignal::Reload,
+            LaterSignal::ReloadWithShorterDeadline,
         ];
         let plan = Plan {
-            longest_deadline_ms: random.random_range(300..4000),
-            series: all_series[random.random_range(0..all_series.len())],
+            longest_deadline_ms: rng.random_range(300..4000),
+            later_signal: later_signals[rng.random_range(0..later_signals.len())],
             relays: 30,
-            resting: 100,
+            idle: 100,
             silent: if seed % 2 == 0 { 150 } else { 0 },
         };
-        let fates = play(&plan, seed);
-        let count = fates.iter().filter(|fate| **fate == Fate::Lost).count();
+        let outcomes = run_shutdown(&plan, seed);
+        let count = outcomes
+            .iter()
+            .filter(|request_outcome| **request_outcome == RequestOutcome::Lost)
+            .count();
         if count > 0 {
-            lost.push(format!("seed {seed}: {count} of {}", fates.len()));
+            lost.push(format!("seed {seed}: {count} of {}", outcomes.len()));
         }
     }
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// The process is held up while the shutdown's last moment passes: what came meanwhile is answered before it exits.
+/// The process is paused past the end of the shutdown: requests that arrive meanwhile are answered before it exits.
 #[test]
-fn what_came_while_the_process_was_held_up_at_its_exit_is_answered() {
+fn requests_that_arrive_while_the_process_is_paused_at_its_exit_are_answered() {
     let mut rig = Rig::start_with_config(1, |config| set_deadline(config, 300));
-    let mut resting: Vec<_> = (0..20).map(|_| rig.connect_client()).collect();
-    wait_until("all are accepted", || {
+    let mut idle: Vec<_> = (0..20).map(|_| rig.connect_client()).collect();
+    wait_until("all connections are accepted", || {
         (rig.open_descriptor_count() > 20).then_some(())
     });
     let started_at = Instant::now();
     rig.signal("-TERM");
     rig.wait_for_log("shutdown started");
-    // It exits 0.3 s before SIGKILL may come, and may be held up for 0.15 s.
+    // The process exits 0.3 s before the earliest SIGKILL, and may be paused for 0.15 s.
     std::thread::sleep(Duration::from_millis(600).saturating_sub(started_at.elapsed()));
     rig.pause();
-    resting.extend((0..60).map(|_| rig.connect_client()));
+    idle.extend((0..60).map(|_| rig.connect_client()));
     let mut sent = Vec::new();
-    for (number, mut client) in resting.into_iter().enumerate() {
+    for (number, mut client) in idle.into_iter().enumerate() {
         if send_first_line(&mut client, FIRST_REQUEST_ID + number as u64, 300).is_some() {
             sent.push(client);
         }
@@ -306,9 +312,9 @@
     assert!(started_at.elapsed() < Duration::from_secs(1));
 }
 
-/// The process is held up while the shutdown's last moment passes, and accepting fails for a moment then: what waits in the
-/// kernel's queue is answered all the same. The last accept ended at its first error (log line `accept failed`), and the
-/// exit reset what still waited.
+/// The process is paused past the end of the shutdown, and accepts fail for a moment then. If the last round of accepts
+/// stopped at its first error (log line `accept failed`), the exit would reset the connections that wait in the kernel's
+/// queue; they must be answered.
 #[rstest]
 #[case::aborted("accept=ECONNABORTED:30")]
 #[case::files("accept=ENFILE:30")]
@@ -317,7 +323,9 @@
 #[case::network_down("accept=ENETDOWN:30")]
 #[case::interrupted("accept=EINTR:30")]
 #[case::unregistered("register=ENOMEM:30")]
-fn what_waits_at_the_exit_is_answered_though_accepting_fails_for_a_moment(#[case] plan: &str) {
+fn connections_that_wait_at_the_exit_are_answered_despite_transient_accept_errors(
+    #[case] plan: &str,
+) {
     let faults = SyscallFaults::new(plan, 1);
     let mut rig = Rig::start_changed(1, DESCRIPTORS, Some(faults), |config| {
         set_deadline(config, 300);
@@ -350,10 +358,10 @@
     assert!(started_at.elapsed() < Duration::from_secs(1));
 }
 
-/// A node without clients exits early, but not while accepting fails: what came within the time in which new connections
-/// come after SIGTERM has its answer.
+/// A node without clients exits early, but not while accepts fail: a connection that arrived soon enough after SIGTERM must
+/// be served.
 #[test]
-fn a_node_without_clients_does_not_exit_over_what_it_could_not_accept_yet() {
+fn a_node_without_clients_does_not_exit_while_accepts_fail() {
     let faults = SyscallFaults::new("accept=ENFILE:100", 1);
     let mut rig = Rig::start_changed(1, DESCRIPTORS, Some(faults), |config| {
         set_deadline(config, 3000);
@@ -369,10 +377,10 @@
     assert!(rig.wait_for_exit().success());
 }
 
-/// A client that closes after its complete first line, or ends its sending, is sent nowhere; one that still reads gets an
-/// answer.
+/// The request of a client that closes or half-closes its connection after the first line is not forwarded; a client that
+/// still reads gets an answer.
 #[test]
-fn a_request_whose_client_has_ended_its_sending_is_answered_and_sent_nowhere() {
+fn a_request_of_a_half_closed_client_is_answered_and_not_forwarded() {
     let mut rig = Rig::start(1);
     rig.pause();
     let (mut client, _) = rig.send_request("d=1500,g=a");
@@ -383,21 +391,21 @@
     assert!(rig.has_no_attempt());
 }
 
-/// A resting connection whose time is over is told so: a first line that crosses the end has an answer.
+/// An idle connection gets an answer when its time is over, so that a first line that crosses the close has one.
 #[test]
-fn a_first_line_that_crosses_the_end_of_its_resting_connection_has_an_answer() {
+fn a_first_line_that_crosses_the_close_of_its_idle_connection_is_answered() {
     let rig = Rig::start(1);
     let mut client = rig.connect_client();
     assert_eq!(
         client.receive(),
         "BUSY",
-        "the answer to whatever crosses it"
+        "the answer to a line that crosses the close"
     );
     assert!(send_crossing(&mut client).is_ok());
     assert_eq!(
         client.receive(),
         "",
-        "and the end, with no reset that would take the answer along"
+        "and the close, without a reset that would discard the answer"
     );
 }
 
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail in the ways that Linux documents: no request, line or signal is lost over them.
+//! System calls that fail in the ways that Linux documents: no request, line or signal is lost by them.
 
 mod common;
 use common::{wait_until, EchoServers, LineStream, Rig, SyscallFaults};
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Requests that one test sends, some at once.
+/// Requests that one test sends, `CONCURRENT_REQUESTS` at once.
 const REQUESTS: usize = 200;
 const CONCURRENT_REQUESTS: usize = 20;
 const DESCRIPTORS: usize = 1024;
 /// Lines that are exchanged on each established connection.
 const LINES: usize = 5;
-/// SIGKILL may come so long after SIGTERM where the longest deadline is 2 s.
+/// Time from SIGTERM to the earliest SIGKILL if the longest deadline is 2 s.
 const KILL_DELAY: Duration = Duration::from_millis(2700);
 
-/// A node in which calls fail. No delay of this machine counts as a server's overload, for which requests are rejected.
+/// Starts a node in which calls fail. No delay of this machine counts as a server's overload, which would reject requests.
 fn start(server_count: usize, plan: &str) -> Rig {
     let faults = SyscallFaults::new(plan, 7);
     let mut rig = Rig::start_changed(server_count, DESCRIPTORS, Some(faults), |_| {});
@@ -23,7 +23,7 @@
     rig
 }
 
-/// What a client got, in a word.
+/// The first word of a client's answer, or `closed`.
 fn outcome(client: &mut LineStream) -> String {
     match client.try_receive() {
         Some(line) => line.split(' ').next().unwrap_or_default().to_string(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Sends the requests, a few at a time; how often each outcome came, and the clients that were served.
+/// Sends the requests, a few at a time; returns the number of each outcome, and the clients that were served.
 fn send_requests(rig: &mut Rig) -> (BTreeMap<String, usize>, Vec<LineStream>) {
     let mut outcomes = BTreeMap::new();
     let mut served = Vec::new();
@@ -55,7 +55,7 @@
     assert_eq!(outcomes, &expected, "every request is served");
 }
 
-/// Each line comes back unchanged.
+/// Sends lines and asserts that each is echoed unchanged.
 fn exchange_lines(client: &mut LineStream) {
     for number in 0..LINES {
         let line = format!("line {number}{}", "x".repeat(number * 300));
@@ -64,7 +64,7 @@
     }
 }
 
-/// All clients are told to move, and the process exits before it may be killed.
+/// Asserts that all clients receive `MOVE` and the process exits before it may be killed.
 fn assert_graceful_shutdown(rig: &mut Rig, clients: Vec<LineStream>) {
     let started_at = Instant::now();
     rig.signal("-TERM");
@@ -112,7 +112,7 @@
     assert_graceful_shutdown(&mut rig, served);
 }
 
-/// The trouble is this machine's own: the request is served all the same, and no server is held for bad.
+/// A local fault must neither reject a request nor count against a server.
 #[rstest]
 #[case::network("connect=ENETUNREACH:20")]
 #[case::network_down("connect=ENETDOWN:20")]
@@ -121,7 +121,7 @@
 #[case::files("socket=ENFILE:20")]
 #[case::descriptors("socket=EMFILE:20")]
 #[case::buffers("socket=ENOBUFS:20")]
-fn a_connect_that_fails_here_for_a_moment_rejects_no_request(#[case] plan: &str) {
+fn a_connect_that_fails_locally_for_a_moment_rejects_no_request(#[case] plan: &str) {
     let mut rig = start(3, plan);
     let servers = EchoServers::start(&rig);
     let (outcomes, served) = send_requests(&mut rig);
@@ -142,7 +142,7 @@
     drop(served);
 }
 
-/// A stream that cannot be registered with the poller for a moment keeps its client and what the client has sent.
+/// A stream that cannot be registered with the poller for a moment must not lose its client or the client's bytes.
 #[test]
 fn a_client_whose_socket_cannot_be_registered_at_once_gets_its_answer() {
     let plan = "register=ENOMEM:20";
@@ -154,7 +154,7 @@
     assert_graceful_shutdown(&mut rig, served);
 }
 
-/// Admin calls are answered however often reads and writes are interrupted, or a socket cannot be registered at once.
+/// Admin calls are answered even if reads and writes are interrupted or a socket cannot be registered at once.
 #[rstest]
 fn admin_calls_are_answered_while_calls_are_interrupted(
     #[values(
@@ -170,7 +170,7 @@
     }
 }
 
-/// Health checks go on while their calls are interrupted or cut short, and no server is held for bad.
+/// Health checks continue while their calls are interrupted or cut short, and none counts as failed.
 #[rstest]
 fn health_checks_go_on_while_calls_fail(
     #[values(
@@ -198,7 +198,7 @@
     drop(served);
 }
 
-/// Nine in ten of discovery's connects fail: the watch is opened again all the same, and a drain holds in time.
+/// Nine in ten connects to discovery fail: the watch must be reopened, and a drain applied, in time.
 #[test]
 fn a_watch_is_opened_again_though_connects_fail_for_a_moment() {
     let mut rig = start(2, "connect=ENETUNREACH:90,recv=SHORT:50");
@@ -225,13 +225,13 @@
     assert_eq!(
         servers.first_line_count(0),
         before,
-        "nothing new to the one that drains"
+        "a new request to the draining server"
     );
 }
 
-/// A signal handler whose write to the event loop is interrupted each time is heard all the same.
+/// A signal is handled even if the signal handler's write to the event loop is interrupted each time.
 #[test]
-fn a_signal_whose_wake_up_is_interrupted_is_heard() {
+fn a_signal_whose_wake_up_is_interrupted_is_handled() {
     let mut rig = Rig::start_with_faults(1, SyscallFaults::new("send=EINTR:100", 1));
     rig.signal("-HUP");
     rig.wait_for_log("configuration reloaded");
@@ -245,9 +245,9 @@
     );
 }
 
-/// Connections go over to another process while its calls are interrupted.
+/// Connections are handed over to another process while system calls are interrupted.
 #[test]
-fn a_handover_loses_no_connection_while_calls_are_interrupted() {
+fn a_handoff_loses_no_connection_while_calls_are_interrupted() {
     let faults = SyscallFaults::new("recv=EINTR:30,send=EINTR:30,accept=EINTR:30", 5);
     let mut rig = Rig::start_inheriting_with_faults(2, faults);
     rig.allow_long_delays();
@@ -258,9 +258,9 @@
     served.iter_mut().for_each(exchange_lines);
 }
 
-/// A read that fails because the connection broke on its way counts as a reset, whichever error says so.
+/// A read that fails because the network connection broke counts as a reset, whichever error reports it.
 #[rstest]
-fn a_connection_that_breaks_on_its_way_is_answered_or_closed(
+fn a_connection_that_breaks_in_the_network_is_answered_or_closed(
     #[values("recv=ETIMEDOUT:3", "recv=EHOSTUNREACH:3")] plan: &str,
 ) {
     let mut rig = start(3, plan);
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock is stepped: deadlines, windows and the slow start of servers go by real time.
+//! Steps of the wall clock: deadlines, windows and the slow start of servers depend on elapsed time only.
 
 mod common;
 use common::{wait_until, EchoServers, LineStream, Rig, SyscallFaults};
@@ -10,7 +10,7 @@
 /// Requests to a fleet of two warm servers and one that has just started.
 const REQUESTS: usize = 150;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
-/// By so much two counts of the same plan may differ: connects and answers take their time.
+/// Allowed difference between two counts of the same plan, because the durations of connects and answers vary.
 const COUNT_TOLERANCE: usize = 4;
 
 fn unix_ms() -> u64 {
@@ -18,23 +18,23 @@
     since_epoch.as_millis() as u64
 }
 
-/// Where the node reads of a server that has just started.
+/// The list that reports the start of a server to the node.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Listing {
-    /// On a watch that is open.
-    Later,
-    /// In the first list, of a service that dates its answers as HTTP asks of one that has a clock.
-    FirstDated,
-    /// In the first list, of a service that does not.
-    FirstUndated,
-    /// The same, with another server that has started at the same moment.
-    FirstUndatedWithAnother,
+enum ReportedIn {
+    /// A change on an open watch.
+    Watch,
+    /// The first list, with a `Date` header as HTTP requires it of a service that has a clock.
+    DatedFirstList,
+    /// The first list, without a `Date` header.
+    UndatedFirstList,
+    /// The first list, without a `Date` header and with another server that started at the same time.
+    UndatedFirstListWithAnother,
 }
 
-/// How many of the requests go to a server that is listed so, `age` after its start, where the node's wall clock is this far
-/// ahead from the start on.
+/// Returns the number of requests that go to a server reported in this list, `age` after its start, if the node's wall clock
+/// is this far ahead from the node's start on.
 fn requests_to_starting_server(
-    listing: Listing,
+    reported_in: ReportedIn,
     clock_offset_seconds: i64,
     age: Duration,
 ) -> usize {
@@ -48,19 +48,19 @@
     let started_at_ms = unix_ms() - age.as_millis() as u64;
     let mut list = rig.endpoint_list(&["SERVING"; 3], 2, true);
     list["hosts"][2]["born_ms"] = started_at_ms.into();
-    if listing == Listing::FirstUndatedWithAnother {
+    if reported_in == ReportedIn::UndatedFirstListWithAnother {
         list["hosts"][1]["born_ms"] = started_at_ms.into();
     }
-    match listing {
-        Listing::Later => {
+    match reported_in {
+        ReportedIn::Watch => {
             rig.accept_watch();
             rig.wait_for_pong();
             rig.announce_start(2, started_at_ms, 2);
         }
-        Listing::FirstDated => {
+        ReportedIn::DatedFirstList => {
             rig.accept_watch_with_list(&list.to_string(), Some(SystemTime::now()));
         }
-        Listing::FirstUndated | Listing::FirstUndatedWithAnother => {
+        ReportedIn::UndatedFirstList | ReportedIn::UndatedFirstListWithAnother => {
             rig.accept_watch_with_list(&list.to_string(), None);
         }
     }
@@ -77,22 +77,22 @@
     servers.first_line_count(2)
 }
 
-/// The server gets what it would with a right clock.
-fn assert_slow_start(listing: Listing, clock_offset_seconds: i64, age: Duration) {
-    let expected = requests_to_starting_server(listing, 0, age);
-    let count = requests_to_starting_server(listing, clock_offset_seconds, age);
-    println!("requests to the starting server: {count}, with a right clock {expected}");
+/// Asserts that the server receives as many requests as it would with a correct clock.
+fn assert_slow_start(reported_in: ReportedIn, clock_offset_seconds: i64, age: Duration) {
+    let expected = requests_to_starting_server(reported_in, 0, age);
+    let count = requests_to_starting_server(reported_in, clock_offset_seconds, age);
+    println!("requests to the starting server: {count}, with a correct clock {expected}");
     assert!(
         expected < REQUESTS / 4,
-        "slow start does not limit it: {expected}"
+        "slow start does not limit the server: {expected}"
     );
     assert!(
         count <= expected + COUNT_TOLERANCE,
-        "{count}, with a right clock {expected}"
+        "{count}, with a correct clock {expected}"
     );
     assert!(
         count + COUNT_TOLERANCE >= expected / 2,
-        "{count}, with a right clock {expected}"
+        "{count}, with a correct clock {expected}"
     );
 }
 
@@ -101,49 +101,49 @@
     #[values(3600, 30, -3600, -30)] clock_offset_seconds: i64,
 ) {
     assert_slow_start(
-        Listing::Later,
+        ReportedIn::Watch,
         clock_offset_seconds,
         Duration::from_millis(500),
     );
 }
 
-/// Guards against a node whose wall clock is ahead at its start, and that sends a server in slow start its whole part at once.
+/// A node whose wall clock is ahead at its start must not send a server in slow start its full share of requests at once.
 #[rstest]
 fn a_server_of_the_first_list_is_in_slow_start_whatever_the_wall_clock_says(
     #[values(3600, 30, -3600, -30)] clock_offset_seconds: i64,
 ) {
     assert_slow_start(
-        Listing::FirstDated,
+        ReportedIn::DatedFirstList,
         clock_offset_seconds,
         Duration::from_millis(2500),
     );
 }
 
-/// The same where discovery does not date its answers, so that nothing that the node is told contradicts its clock.
+/// A wrong clock at the node's start, if discovery sends no `Date` header, so that no input contradicts the clock.
 #[rstest]
 fn a_server_of_an_undated_first_list_is_in_slow_start_too(
     #[values(3600, 30, -3600, -30)] clock_offset_seconds: i64,
 ) {
     assert_slow_start(
-        Listing::FirstUndated,
+        ReportedIn::UndatedFirstList,
         clock_offset_seconds,
         Duration::from_millis(2500),
     );
 }
 
-/// The same where most servers have started at the same moment, as after a loss of power.
+/// A wrong clock and no `Date` header, if most servers started at the same time, as after a power failure.
 #[rstest]
 fn servers_of_an_undated_first_list_that_started_together_are_in_slow_start(
     #[values(3600, 30)] clock_offset_seconds: i64,
 ) {
     assert_slow_start(
-        Listing::FirstUndatedWithAnother,
+        ReportedIn::UndatedFirstListWithAnother,
         clock_offset_seconds,
         Duration::from_millis(2500),
     );
 }
 
-/// A step while the node runs moves no deadline: that of a request, of a first line, and of the shutdown.
+/// A step of the clock while the node runs moves no deadline: of a request, of a first line, or of the shutdown.
 #[rstest]
 fn a_step_of_the_wall_clock_moves_no_deadline(#[values(3600, -3600)] offset_seconds: i64) {
     let faults = SyscallFaults::new(&format!("clock={offset_seconds}"), 1);
@@ -168,9 +168,9 @@
     drop((waiting, slow));
     let terminated_at = Instant::now();
     rig.signal("-TERM");
-    let _resting: Vec<LineStream> = (0..3).map(|_| rig.connect_client()).collect();
+    let _idle: Vec<LineStream> = (0..3).map(|_| rig.connect_client()).collect();
     rig.switch_faults_off();
-    wait_until("the node ends", || (!rig.is_running()).then_some(()));
+    wait_until("the node exits", || (!rig.is_running()).then_some(()));
     let took = terminated_at.elapsed();
     assert!(
         took > Duration::from_millis(700) && took < Duration::from_millis(2700),
