--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -157,7 +157,7 @@
 #[case::down(Discovery::Down)]
 #[case::hangs(Discovery::Hangs)]
 #[case::overloaded(Discovery::Answers(1.0))]
-#[case::as_small_ones_answer(Discovery::Answers(2.0))]
+#[case::slow(Discovery::Answers(2.0))]
 fn nine_in_ten_nodes_that_start_at_once_are_ready_in_time(#[case] discovery: Discovery) {
     let started_at = Instant::now();
     let mut rigs: Vec<Rig> = (0..30)
--- a/crates/node/tests/health_checks.rs
+++ b/crates/node/tests/health_checks.rs
@@ -36,20 +36,21 @@
     #[case] answer: &str,
     #[values(1, 4)] servers: usize,
 ) {
-    let (mut rig, server_index, mut client, line, _probe) = wait_until("an answer in time", || {
-        let mut rig = start_with_health_checks(servers);
-        let started_at = Instant::now();
-        let (client, line) = rig.send_request("d=1500,g=a");
-        let (server_index, mut health_check) = accept_health_check(&rig);
-        health_check.send(&format!("{answer}\r\n"));
-        (started_at.elapsed() < MAX_ANSWER_DELAY).then_some((
-            rig,
-            server_index,
-            client,
-            line,
-            health_check,
-        ))
-    });
+    let (mut rig, server_index, mut client, line, _health_check) =
+        wait_until("an answer in time", || {
+            let mut rig = start_with_health_checks(servers);
+            let started_at = Instant::now();
+            let (client, line) = rig.send_request("d=1500,g=a");
+            let (server_index, mut health_check) = accept_health_check(&rig);
+            health_check.send(&format!("{answer}\r\n"));
+            (started_at.elapsed() < MAX_ANSWER_DELAY).then_some((
+                rig,
+                server_index,
+                client,
+                line,
+                health_check,
+            ))
+        });
     let (attempted, mut server) = rig.accept_attempt();
     let text = server.receive();
     assert_eq!((attempted, &text[..21]), (server_index, &line[..21]));
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -8,13 +8,13 @@
 #[rstest]
 #[case::check("check\r\n", "done")]
 #[case::bare_line_feed("check\n", "done")]
-#[case::out_and_back_needs_no_more("set-up s-0\r\n", "done")]
-#[case::nobody_has_it("set-down s-9\r\n", "error no transcriber \"s-9\"")]
-#[case::unknown(
+#[case::undrain_without_a_drain("set-up s-0\r\n", "done")]
+#[case::unknown_server("set-down s-9\r\n", "error no transcriber \"s-9\"")]
+#[case::unknown_call(
     "stop\r\n",
     "error no call \"stop\"; there are check, set-down ID, set-up ID, fleet and budgets"
 )]
-#[case::no_fleet(
+#[case::no_cluster(
     "budgets show\r\n",
     "error this node divides no budget with a fleet, or waits for its place there"
 )]
--- a/crates/node/tests/operation_limits.rs
+++ b/crates/node/tests/operation_limits.rs
@@ -34,9 +34,9 @@
 
 /// A server that is missing in a complete list, draining or deleted gets no new requests after the grace period.
 #[rstest]
-#[case::left_out("")]
-#[case::drains("DRAINING")]
-#[case::gone("DELETED")]
+#[case::missing("")]
+#[case::draining("DRAINING")]
+#[case::deleted("DELETED")]
 fn a_removed_or_draining_server_gets_no_new_requests(#[case] health: &str) {
     let mut rig = Rig::start(3);
     rig.allow_long_delays();
--- a/crates/node/tests/protocol.rs
+++ b/crates/node/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol towards clients, servers and the discovery service, each by a test on real sockets.
+//! The rules of the protocol towards clients, servers and the discovery service, each tested on real sockets.
 
 mod common;
 use common::{reset_connection, wait_until, Rig};
@@ -12,13 +12,13 @@
     let mut rig = Rig::start(2);
     let (mut client, line) = rig.send_request("d=1500,g=5c0f6e1a,x=1");
     let (_, mut server) = rig.accept_attempt();
-    let passed = server.receive();
-    let (start, rest) = passed.split_once("d=").unwrap();
-    let (left, rest) = rest.split_once(',').unwrap();
+    let forwarded = server.receive();
+    let (start, rest) = forwarded.split_once("d=").unwrap();
+    let (left_ms, rest) = rest.split_once(',').unwrap();
     assert_eq!(format!("{start}d=1500,{rest}"), line);
     assert!(
-        (1..=1500).contains(&left.parse::<u32>().unwrap()),
-        "{left} ms"
+        (1..=1500).contains(&left_ms.parse::<u32>().unwrap()),
+        "{left_ms} ms"
     );
     server.send("UP r1\r\nLOAD 12.5\r\nfirst\r\nsec");
     server.send("ond\r\n");
@@ -67,20 +67,20 @@
     assert!(rig.has_no_attempt());
 }
 
-/// The next attempt starts only after the server has ended the first one.
+/// The next attempt must not start before the server has ended the first one.
 #[rstest]
 #[case::rejected("BUSY\r\n")]
 #[case::error("ERR\r\n")]
 #[case::drains("MOVE\r\n")]
 #[case::nonsense("\u{fffd}\r\n")]
 #[case::ended("")]
-fn a_failed_attempt_is_retried_at_another_server(#[case] says: &str) {
+fn a_failed_attempt_is_retried_at_another_server(#[case] sent_text: &str) {
     let mut rig = Rig::start(2);
     let (mut client, _) = rig.send_request("d=1900,g=a");
     let (first, mut server) = rig.accept_attempt();
     server.receive();
-    assert!(rig.has_no_attempt(), "two at once");
-    server.send(says);
+    assert!(rig.has_no_attempt(), "two attempts at once");
+    server.send(sent_text);
     drop(server);
     let (second, mut server) = rig.accept_attempt();
     assert_ne!(first, second);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn with_all_servers_gone_requests_are_rejected_at_once_with_retry_after() {
+fn with_all_servers_unreachable_requests_are_rejected_at_once_with_retry_after() {
     let mut rig = Rig::start(2);
     rig.servers.iter_mut().for_each(|server| *server = None);
     let started_at = Instant::now();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_before_its_answer_ends_its_attempt() {
+fn a_client_that_disconnects_before_its_answer_ends_its_attempt() {
     let mut rig = Rig::start(1);
     let (client, _) = rig.send_request("d=60000,g=a");
     let (_, mut server) = rig.accept_attempt();
@@ -168,34 +168,41 @@
     assert_eq!([client.receive(), client.receive()], ["MOVE", ""]);
     assert!(
         started_at.elapsed() < Duration::from_secs(4),
-        "nobody is served on it meanwhile"
+        "the client is not served while it waits"
     );
 }
 
 #[test]
 fn all_connections_of_an_unresponsive_server_are_migrated_at_once() {
     let mut rig = Rig::start(2);
-    let (mut other, at, mut answers) = rig.establish();
+    let (mut other, server_index, mut other_server) = rig.establish();
     let mut held = Vec::new();
-    // A group of its own for each: some come to either server.
-    wait_until("three at the other one", || {
+    // Each client has its own group, so that both servers get some of them.
+    wait_until("three connections at the other server", || {
         let (mut client, _) = rig.send_request(&format!("d=1500,g={}", held.len()));
         let (to, mut server) = rig.accept_attempt();
         server.receive();
         server.send("UP r1\r\n");
         assert_eq!(client.receive(), "UP r1");
         held.push((client, to, server));
-        (held.iter().filter(|(_, to, _)| *to != at).count() == 3).then_some(())
+        (held.iter().filter(|(_, to, _)| *to != server_index).count() == 3).then_some(())
     });
-    let mut held: Vec<_> = held.into_iter().filter(|(_, to, _)| *to != at).collect();
+    let mut held: Vec<_> = held
+        .into_iter()
+        .filter(|(_, to, _)| *to != server_index)
+        .collect();
     held[0].0.send("hello\r\n");
     held[1].0.send("hello\r\n");
     let started_at = Instant::now();
     while held[2].0.is_quiet() {
         other.send("hello\r\n");
-        assert_eq!(answers.receive(), "hello");
-        answers.send("hello\r\n");
-        assert_eq!(other.receive(), "hello", "the sound one stays");
+        assert_eq!(other_server.receive(), "hello");
+        other_server.send("hello\r\n");
+        assert_eq!(
+            other.receive(),
+            "hello",
+            "the connection of the responsive server stays"
+        );
         assert!(started_at.elapsed() < common::WAIT_TIMEOUT);
     }
     for (client, _, _) in &mut held {
@@ -207,16 +214,16 @@
 fn a_draining_server_gets_no_new_requests() {
     let mut rig = Rig::start(2);
     let mut held = vec![rig.establish()];
-    let at = held[0].1;
-    rig.announce_health(at, "DRAINING", 2);
-    // What the node has heard shows only in what it does: once a request of this group goes elsewhere, all do.
+    let server_index = held[0].1;
+    rig.announce_health(server_index, "DRAINING", 2);
+    // The change is visible only in the node's choices: once a request of this group goes elsewhere, all do.
     wait_until("the change", || {
         held.push(rig.establish());
-        (held.last()?.1 != at).then_some(())
+        (held.last()?.1 != server_index).then_some(())
     });
     for _ in 0..5 {
         held.push(rig.establish());
-        assert_ne!(held.last().unwrap().1, at);
+        assert_ne!(held.last().unwrap().1, server_index);
     }
 }
 
@@ -242,7 +249,11 @@
     call.send(answer);
     drop(call);
     rig.establish();
-    assert_eq!(rig.query("PING\r\n"), "BUSY", "its list may be old");
+    assert_eq!(
+        rig.query("PING\r\n"),
+        "BUSY",
+        "the node's list may be stale"
+    );
     rig.accept_watch();
     wait_until("PONG", || (rig.query("PING\r\n") == "PONG").then_some(()));
     assert!(rig.is_running());
@@ -251,10 +262,10 @@
 #[test]
 fn a_restored_connection_goes_to_its_current_server() {
     let mut rig = Rig::start(3);
-    for holder in 0..3 {
-        let (mut client, _) = rig.send_request(&format!("d=30000,g=a,at=s-{holder}"));
-        let (at, mut server) = rig.accept_attempt();
-        assert_eq!(at, holder);
+    for expected_index in 0..3 {
+        let (mut client, _) = rig.send_request(&format!("d=30000,g=a,at=s-{expected_index}"));
+        let (server_index, mut server) = rig.accept_attempt();
+        assert_eq!(server_index, expected_index);
         server.receive();
         server.send("UP r1\r\n");
         assert_eq!(client.receive(), "UP r1");
@@ -282,7 +293,7 @@
     late.send("hello\r\n");
     assert_eq!(late_server.receive(), "hello");
     late_server.send("hello\r\n");
-    assert_eq!(late.receive(), "hello", "served until it is sent away");
+    assert_eq!(late.receive(), "hello", "served until it is moved");
     for mut client in [client, late] {
         assert_eq!([client.receive(), client.receive()], ["MOVE", ""]);
     }
@@ -294,7 +305,7 @@
     assert!(rig.wait_for_exit().success());
     assert!(
         started_at.elapsed() < Duration::from_millis(2700),
-        "killed before: {:?}",
+        "exit after the earliest SIGKILL: {:?}",
         started_at.elapsed()
     );
 }
@@ -306,12 +317,12 @@
     let (mut client, _) = rig.send_request("d=1000,g=a");
     assert!(client.receive().starts_with("BUSY "));
     drop(held);
-    wait_until("room", || {
-        // A client that leaves at once would end its attempt before it is made.
+    wait_until("a free descriptor", || {
+        // A client that disconnects at once would cancel its attempt before it starts.
         let (mut client, _) = rig.send_request("d=1000,g=a");
         let answered = || {
-            let tried = rig.servers[0].as_ref()?.accept().is_ok();
-            (tried || !client.is_quiet()).then_some(tried)
+            let attempted = rig.servers[0].as_ref()?.accept().is_ok();
+            (attempted || !client.is_quiet()).then_some(attempted)
         };
         wait_until("an attempt or an answer", answered).then_some(())
     });
@@ -321,14 +332,14 @@
 #[case::half_a_line("OPEN 9b1f03", "ERR")]
 #[case::nothing("", "BUSY")]
 fn an_incomplete_first_line_is_closed_within_three_seconds(
-    #[case] says: &str,
-    #[case] hears: &str,
+    #[case] sent_text: &str,
+    #[case] expected: &str,
 ) {
     let rig = Rig::start(1);
     let mut client = rig.connect_client();
     let started_at = Instant::now();
-    client.send(says);
-    assert_eq!(client.receive(), hears);
+    client.send(sent_text);
+    assert_eq!(client.receive(), expected);
     client.receive();
     assert!(
         started_at.elapsed() < Duration::from_secs(3),
@@ -347,7 +358,7 @@
     let sent = (0..4000)
         .take_while(|_| client.stream.write_all(&block).is_ok())
         .count();
-    assert!(sent < 60, "{sent} MiB were taken");
+    assert!(sent < 60, "{sent} MiB were accepted");
     assert!(
         started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
@@ -380,14 +391,14 @@
 #[test]
 fn a_server_that_closes_on_a_line_it_cannot_parse_is_not_ejected() {
     let mut rig = Rig::start(2);
-    let (mut client, at, mut server) = rig.establish();
+    let (mut client, server_index, mut server) = rig.establish();
     for _ in 0..4 {
         client.send("what no server parses\r\n");
         server.receive();
         drop(server);
         assert_eq!(client.receive(), "");
-        let (next, now_at, now) = rig.establish();
-        assert_eq!(now_at, at);
+        let (next, next_index, now) = rig.establish();
+        assert_eq!(next_index, server_index);
         (client, server) = (next, now);
     }
 }
@@ -412,7 +423,7 @@
     let mut rig = Rig::start(2);
     rig.announce_health(0, "DRAINING", 2);
     rig.announce_health(1, "DRAINING", 3);
-    // Nothing takes new connections any more, and the front is told so.
+    // No server accepts new connections, and `BUSY` reports this to the front.
     wait_until("the change", || {
         (rig.query("PING\r\n") == "BUSY").then_some(())
     });
@@ -433,7 +444,7 @@
         assert_eq!(request, "GET /v1/endpoints?watch=1&from=7 HTTP/1.1");
         assert!(
             started_at.elapsed() < Duration::from_secs(3),
-            "told too late: {:?}",
+            "call to the new address too late: {:?}",
             started_at.elapsed()
         );
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
--- a/crates/node/tests/races.rs
+++ b/crates/node/tests/races.rs
@@ -1,4 +1,4 @@
-//! Pairs of events that can happen in either order, each order forced: `docs/design/races.md` says what must be seen.
+//! Pairs of events that can happen in either order, each order forced. `docs/design/races.md` lists the expected results.
 
 mod common;
 use common::{reset_connection, wait_until, Rig};
@@ -7,13 +7,13 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Connects may take up to 10 s, and the one attempt that a request has may wait for that.
+/// Allows connects to take up to 10 s, and each request one attempt, which may wait for such a connect.
 fn allow_slow_connects(settings: &mut serde_json::Value) {
     settings["Limits"]["ConnectTimeoutNs"] = 10_000_000_000u64.into();
     settings["Limits"]["SendCap"] = 1.into();
 }
 
-/// How a client leaves.
+/// The way in which a client disconnects.
 #[derive(Clone, Copy)]
 enum Departure {
     Closes,
@@ -35,8 +35,8 @@
     rig.wait_for_client_close(from);
 }
 
-/// The client leaves and the attempt connects, both in one turn of the loop: the first event is handled first, and the
-/// line of a client that has left is sent in neither case.
+/// The client disconnects and the attempt connects in one turn of the event loop, in either order: the line of a client that
+/// has disconnected must not be sent in either case.
 #[rstest]
 fn a_request_whose_client_has_left_is_not_sent_when_its_attempt_connects(
     #[values(Departure::Closes, Departure::Resets, Departure::SendsMore)] departure: Departure,
@@ -57,11 +57,15 @@
         server
     };
     rig.resume();
-    assert_eq!(server.receive(), "", "nobody waits for it");
+    assert_eq!(
+        server.receive(),
+        "",
+        "the request was sent without a client"
+    );
     rig.wait_for_log("client left");
 }
 
-/// Hundreds leave at once, and attempts for some of them have connected in the same turn, before they left.
+/// Hundreds of clients disconnect at once, and attempts for some of them have connected before, in the same turn.
 #[test]
 fn requests_of_hundreds_of_clients_that_leave_at_once_are_not_sent() {
     let mut rig = Rig::start(1);
@@ -70,21 +74,23 @@
     let clients: Vec<_> = (0..150)
         .map(|n| rig.send_request(&format!("d=20000,g={n}")).0)
         .collect();
-    // Some wait for the server, the others for their turn.
+    // Some requests wait for the server, the others for their turn.
     rig.wait_for_log_count("request received, ", 150);
     rig.pause();
-    let mut came = vec![full_backlog.release()];
-    came.extend((0..7).map(|_| rig.accept_attempt().1));
+    let mut connected = vec![full_backlog.release()];
+    connected.extend((0..7).map(|_| rig.accept_attempt().1));
     for client in clients {
         leave(&rig, client, Departure::Closes);
     }
     rig.resume();
     rig.wait_for_log_count("client left", 150);
     assert!(
-        came.iter_mut().all(|server| server.receive().is_empty()),
-        "nobody waits for it"
+        connected
+            .iter_mut()
+            .all(|server| server.receive().is_empty()),
+        "the request was sent without a client"
     );
-    // The next request that is forwarded is none of theirs.
+    // The next request that is forwarded is of another client.
     let (_client, line) = rig.send_request("d=20000,g=last");
     let id = line.split(' ').nth(1).unwrap().to_string();
     let said = wait_until("the next request", || {
@@ -93,7 +99,7 @@
     assert!(said.contains(&id), "{said}");
 }
 
-/// The server begins to drain while the attempt connects, which takes longer than the grace period.
+/// The server starts to drain while the attempt connects, which takes longer than the grace period.
 #[rstest]
 #[case::drains("DRAINING")]
 #[case::gone("DELETED")]
@@ -117,12 +123,12 @@
     );
     assert!(
         client.receive().starts_with("BUSY"),
-        "it was never executed, and no server is left"
+        "the request was never executed, and no server is left"
     );
 }
 
-/// However the list is laid out, wherever its bytes are cut, and whatever its version: also one that went back, as of a
-/// discovery service that has restarted.
+/// A list is applied with any layout, cut at any byte, and with any version, including a lower one, as of a discovery
+/// service that has restarted.
 #[rstest]
 #[case::in_one_line(false, 2)]
 #[case::indented(true, 2)]
@@ -130,7 +136,7 @@
 fn an_endpoint_list_is_applied_however_it_is_laid_out(
     #[case] indented: bool,
     #[case] seq: u64,
-    #[values(1, 7, 4096)] piece: usize,
+    #[values(1, 7, 4096)] chunk_size: usize,
 ) {
     let mut rig = Rig::start(2);
     let list = rig.endpoint_list(&["DRAINING", "SERVING"], seq, true);
@@ -139,14 +145,14 @@
     } else {
         list.to_string()
     };
-    rig.write_to_watch(format!("{text}\n").as_bytes(), piece);
+    rig.write_to_watch(format!("{text}\n").as_bytes(), chunk_size);
     rig.wait_for_log(&format!("endpoint list changed, entries: 2, seq: {seq}"));
     let held: Vec<_> = (0..6).map(|_| rig.establish()).collect();
     assert!(
-        held.iter().all(|(_, at, _)| *at == 1),
-        "the first one drains"
+        held.iter().all(|(_, server_index, _)| *server_index == 1),
+        "the first server drains"
     );
-    // The watch goes on, and is reopened from that version.
+    // The next watch starts from that version.
     rig.watch = None;
     assert_eq!(
         rig.accept_discovery_call().1,
@@ -154,13 +160,13 @@
     );
 }
 
-/// A list that comes byte by byte and never ends is as good as nothing.
+/// A list that arrives byte by byte and never ends counts as silence of the watch.
 #[test]
 fn an_endless_endpoint_list_counts_as_silence() {
     let mut rig = Rig::start(1);
     rig.write_to_watch(b"{\"seq\":2,", 4096);
     wait_until("the watch is reopened", || {
-        // It goes on for as long as the node reads it.
+        // The list continues for as long as the node reads it.
         let watch = rig.watch.as_mut().unwrap();
         let _ = watch.stream.write_all(b"1\r\n \r\n");
         rig.discovery.accept().ok()
@@ -168,7 +174,7 @@
     assert!(rig.log().contains("endpoint watch fell silent"));
 }
 
-/// Its valid entries change nothing either, and the watch is reopened from the known version.
+/// Valid entries of an invalid list are not applied either, and the watch is reopened from the known version.
 #[rstest]
 #[case::cut("{\"seq\":9,\"whole\":true,\"hosts\":[]")]
 #[case::nonsense("nonsense\n")]
@@ -190,12 +196,14 @@
         .map(|n| rig.establish_in_group(&format!("g{n}")))
         .collect();
     assert!(
-        (0..2).all(|server| held.iter().any(|(_, at, _)| *at == server)),
-        "both are used as before"
+        (0..2).all(|server| held
+            .iter()
+            .any(|(_, server_index, _)| *server_index == server)),
+        "both servers are used as before"
     );
 }
 
-/// A change behind a silent watch has to be applied 6 s after the last byte at the latest. The first connect hangs.
+/// A change must be applied at most 6 s after the last byte of a silent watch, even if the first connect hangs.
 #[test]
 fn a_silent_watch_is_reopened_in_time_though_the_first_connect_hangs() {
     let mut rig = Rig::start(1);
@@ -213,7 +221,7 @@
     );
 }
 
-/// The same where discovery accepts the first call and never answers it, with few nodes or many.
+/// The same limit of 6 s holds if discovery accepts the first call and never answers it, with few nodes or many.
 #[rstest]
 fn a_change_behind_a_silent_watch_is_applied_in_time_though_a_call_is_never_answered(
     #[values(2, 300)] nodes: u32,
@@ -234,12 +242,12 @@
         .map(|n| rig.establish_in_group(&format!("g{n}")))
         .collect();
     assert!(
-        held.iter().all(|(_, at, _)| *at == 1),
-        "the first one drains"
+        held.iter().all(|(_, server_index, _)| *server_index == 1),
+        "the first server drains"
     );
 }
 
-/// One of two pending calls is answered, either one: it becomes the watch, and the other one is closed.
+/// Of two pending calls, the one that is answered, either one, becomes the watch, and the other one is closed.
 #[rstest]
 fn the_discovery_call_that_is_answered_first_becomes_the_watch(#[values(true, false)] first: bool) {
     let mut rig = Rig::start(1);
@@ -247,20 +255,20 @@
     let (two, _) = rig.accept_discovery_call();
     let (mut answered, mut other) = if first { (one, two) } else { (two, one) };
     answered.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-    assert_eq!(other.receive(), "", "it is closed");
+    assert_eq!(other.receive(), "", "the other call is closed");
     rig.watch = Some(answered);
     rig.announce_health(0, "DRAINING", 2);
     rig.wait_for_log("seq: 2");
     assert!(rig.discovery.accept().is_err(), "no further call");
 }
 
-/// Calls are rejected for long, or accepted and never answered; then discovery is back, and the next call is answered. It
-/// comes in time for changes made from that moment on.
+/// Discovery rejects calls, or accepts them and never answers; then it recovers and answers the next call. That call must
+/// come early enough for changes from the recovery on to be applied in time.
 #[rstest]
 #[case::down(true)]
 #[case::hangs(false)]
 fn changes_are_applied_in_time_once_discovery_is_back(
-    #[case] ends: bool,
+    #[case] rejects: bool,
     #[values(2, 300)] nodes: u32,
 ) {
     let mut rig = Rig::start_as_one_of(nodes, 1);
@@ -268,31 +276,31 @@
     let mut hung = Vec::new();
     for _ in 0..3 {
         let (mut call, _) = rig.accept_discovery_call();
-        if ends {
+        if rejects {
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         } else {
             hung.push(call);
         }
     }
-    // The last call that fails has come: from here on discovery is back.
-    let back = Instant::now();
+    // Discovery recovers after the last failed call.
+    let recovered_at = Instant::now();
     rig.accept_watch();
     rig.announce_health(0, "DRAINING", 2);
     rig.wait_for_log("seq: 2");
     assert!(
-        back.elapsed() < Duration::from_secs(6),
+        recovered_at.elapsed() < Duration::from_secs(6),
         "{:?}",
-        back.elapsed()
+        recovered_at.elapsed()
     );
 }
 
-/// A connection's descriptor is needed for others in the turn in which its first line is there, complete and unread.
+/// A connection's descriptor is needed for others in the same turn in which its complete first line has arrived unread.
 #[test]
 fn a_connection_whose_first_line_has_arrived_is_not_closed_for_its_descriptor() {
     let rig = Rig::start_with_descriptors(1, 68);
     let mut oldest = rig.connect_client();
     let mut silent: Vec<_> = (0..23).map(|_| rig.connect_client()).collect();
-    // Clients are accepted in order: by then all of them have been.
+    // Clients are accepted in order, so that all of them are accepted once `PING` is answered.
     assert_eq!(rig.query("PING\r\n"), "PONG");
     rig.pause();
     silent.extend((0..16).map(|_| rig.connect_client()));
@@ -304,7 +312,7 @@
     assert_eq!(oldest.receive(), "UP r1");
 }
 
-/// The answer is one that the request's class allows after what has been sent for it.
+/// The answer is one that the request's class allows, given whether the request has been sent.
 #[rstest]
 #[case::repeatable("repeatable", "all", true, true, "BUSY ")]
 #[case::no_retry_after("repeatable", "all", true, false, "BUSY")]
@@ -317,7 +325,7 @@
     #[case] repeat: &str,
     #[case] group: &str,
     #[case] sent: bool,
-    #[case] advises: bool,
+    #[case] has_retry_after: bool,
     #[case] answer: &str,
 ) {
     let mut rig = Rig::start(1);
@@ -325,7 +333,7 @@
         allow_slow_connects(settings);
         settings["Categories"][0]["Repeat"] = repeat.into();
         settings["Categories"][0]["Group"] = group.into();
-        settings["Limits"]["RetryAfter"] = advises.into();
+        settings["Limits"]["RetryAfter"] = has_retry_after.into();
     });
     let full_backlog = (!sent).then(|| rig.fill_backlog(0));
     let (mut client, _) = rig.send_request("d=60000,g=a");
@@ -343,27 +351,31 @@
     );
     assert_eq!(client.receive(), "", "one answer");
     if let Some(mut server) = server {
-        assert_eq!(server.receive(), "", "the attempt ends with it");
+        assert_eq!(server.receive(), "", "the attempt ends with the answer");
     }
     drop(client);
     assert!(rig.wait_for_exit().success());
     drop(full_backlog);
 }
 
-/// Nothing of a damaged answer reaches the client.
+/// No byte of a damaged answer reaches the client.
 #[rstest]
 #[case::no_receipt("UP\r\n")]
 #[case::damaged_receipt("UP \u{1}\u{2}\r\n")]
 #[case::no_carriage_return("UP r1\n")]
 #[case::cut("UP r")]
 #[case::too_long("")]
-fn a_damaged_answer_is_a_failed_attempt(#[case] says: &str) {
+fn a_damaged_answer_is_a_failed_attempt(#[case] answer_text: &str) {
     let mut rig = Rig::start(2);
     let (mut client, _) = rig.send_request("d=20000,g=a");
     let (first, mut server) = rig.accept_attempt();
     server.receive();
     let long = format!("UP {}\r\n", "x".repeat(5000));
-    server.send(if says.is_empty() { &long } else { says });
+    server.send(if answer_text.is_empty() {
+        &long
+    } else {
+        answer_text
+    });
     server.stream.shutdown(Shutdown::Write).unwrap();
     let (second, mut server) = rig.accept_attempt();
     assert_ne!(first, second);
@@ -372,26 +384,26 @@
     assert_eq!(client.receive(), "UP r2");
 }
 
-/// Other clients are answered in time meanwhile.
+/// Other clients are answered in time while a server sends an endless answer.
 #[rstest]
 #[case::lines("LOAD 1\r\n")]
 #[case::no_line("x")]
-fn an_endless_answer_keeps_nobody_waiting(#[case] says: &str) {
+fn an_endless_answer_keeps_nobody_waiting(#[case] answer_text: &str) {
     let mut rig = Rig::start(1);
     let (mut client, _) = rig.send_request("d=3000,g=a");
     let (_, mut server) = rig.accept_attempt();
     server.receive();
-    let block = says.repeat(4096);
+    let block = answer_text.repeat(4096);
     let endless =
         std::thread::spawn(move || while server.stream.write_all(block.as_bytes()).is_ok() {});
     let started_at = Instant::now();
     while client.is_quiet() {
-        let asked = Instant::now();
+        let asked_at = Instant::now();
         assert_eq!(rig.query("PING\r\n"), "PONG");
         assert!(
-            asked.elapsed() < Duration::from_secs(1),
+            asked_at.elapsed() < Duration::from_secs(1),
             "{:?}",
-            asked.elapsed()
+            asked_at.elapsed()
         );
     }
     assert!(client.receive().starts_with("BUSY"));
@@ -403,7 +415,7 @@
     endless.join().unwrap();
 }
 
-/// The retry connects only after the window in which it is allowed: it is not sent, and the client gets the answer that
+/// The retry connects only after the window in which it is allowed: it must not be sent, and the client gets the answer that
 /// its class allows.
 #[rstest]
 #[case::anywhere("all", "BUSY")]
@@ -423,11 +435,11 @@
     let full_backlog = rig.fill_backlog(1 - first);
     reset_connection(server);
     rig.wait_for_log("outcome: Reset");
-    // The kernel repeats the connect a second after the first one.
+    // The kernel retries the connect a second after the first one.
     assert_eq!(
         full_backlog.release().receive(),
         "",
-        "its retry window is over"
+        "the retry window is over"
     );
     assert!(client.receive().starts_with(answer));
 }
--- a/crates/node/tests/relays.rs
+++ b/crates/node/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Established connections at the limits: what is passed on, how they end, and when clients are told to move.
+//! Established connections at their limits: the lines that are forwarded, the ends of connections, and `MOVE`.
 
 mod common;
 use common::{reset_connection, LineStream, Rig};
@@ -7,23 +7,23 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// A line may be held back for so long.
+/// Allowed delay of a line.
 const MAX_LINE_DELAY: Duration = Duration::from_secs(1);
 
-/// What the client receives until the connection ends, and how long that took.
+/// Returns the bytes that the client receives until the connection ends, and the time that this took.
 fn read_to_end(client: &mut LineStream) -> (String, Duration) {
     let started_at = Instant::now();
     let mut text = String::new();
-    // A reset ends it too.
+    // A reset also ends the connection.
     let _ = client.stream.read_to_string(&mut text);
     (text, started_at.elapsed())
 }
 
-/// A server that ends in the middle of a line: the client has what came, and the end, within a second.
+/// A server closes or resets in the middle of a line: the client's connection must end within a second.
 #[rstest]
 #[case::closes(false)]
 #[case::resets(true)]
-fn a_connection_that_its_server_ends_in_a_line_ends_within_a_second(#[case] is_reset: bool) {
+fn a_connection_that_its_server_closes_within_a_line_ends_within_a_second(#[case] is_reset: bool) {
     let mut rig = Rig::start(1);
     let (mut client, _, mut server) = rig.establish();
     server.send("whole\r\nhalf a li");
@@ -37,7 +37,7 @@
     assert!(took < Duration::from_secs(1), "{took:?}");
 }
 
-/// `MOVE` of a draining server reaches its client between two lines, and both sides end.
+/// `MOVE` from a draining server reaches its client between two lines, and both sides are closed.
 #[test]
 fn a_move_of_the_server_is_passed_on_and_ends_both_sides() {
     let mut rig = Rig::start(1);
@@ -48,12 +48,12 @@
     assert_eq!(text, "first\r\nMOVE\r\n");
     assert!(took < Duration::from_secs(1), "{took:?}");
     drop(client);
-    assert_eq!(server.receive(), "", "the other side ends too");
+    assert_eq!(server.receive(), "", "the server's side is closed, too");
 }
 
-/// A client that does not read while the node ends: it has all lines whole once it reads, and `MOVE` behind them.
+/// A client that does not read while the node shuts down must receive complete lines and then `MOVE` once it reads.
 #[test]
-fn a_client_that_reads_late_has_whole_lines_and_then_move() {
+fn a_client_that_reads_late_receives_complete_lines_and_then_move() {
     let mut rig = Rig::start(1);
     let (mut client, _, mut server) = rig.establish();
     let line = "z".repeat(1000);
@@ -67,7 +67,7 @@
     }
     assert!(
         sent_lines > 100,
-        "the windows are full after {sent_lines} lines"
+        "the buffers are full after {sent_lines} lines"
     );
     rig.signal("-TERM");
     rig.wait_for_log("shutdown started");
@@ -76,7 +76,7 @@
     loop {
         match client.try_receive().as_deref() {
             Some("MOVE") => break,
-            Some(received) => assert_eq!(received, line, "line {lines} is torn"),
+            Some(received) => assert_eq!(received, line, "line {lines} is damaged"),
             None => panic!("cut off without MOVE after {lines} lines"),
         }
         lines += 1;
@@ -84,17 +84,17 @@
     assert!(lines <= sent_lines + 1);
 }
 
-/// No line of an established connection waits for a second beside a crowd and clients that flood.
+/// No line of an established connection is delayed by a second while other clients flood the node.
 #[test]
-fn no_line_is_held_back_beside_a_crowd_and_floods() {
+fn no_line_is_delayed_by_floods_of_other_clients() {
     let mut rig = Rig::start(1);
     let (mut client, _, mut server) = rig.establish();
     let address = rig.client_address();
     let flood: Vec<_> = (0..6)
         .map(|_| {
             std::thread::spawn(move || {
-                let began = Instant::now();
-                while began.elapsed() < Duration::from_secs(4) {
+                let started_at = Instant::now();
+                while started_at.elapsed() < Duration::from_secs(4) {
                     let mut bad = LineStream::new(std::net::TcpStream::connect(address).unwrap());
                     while bad.try_send(&"x".repeat(16 << 10)).is_ok() {}
                 }
@@ -102,8 +102,8 @@
         })
         .collect();
     let mut slowest = Duration::ZERO;
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_secs(4) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(4) {
         let sent_at = Instant::now();
         common::exchange_lines(&mut client, &mut server);
         slowest = slowest.max(sent_at.elapsed());
@@ -116,11 +116,11 @@
     assert!(slowest < MAX_LINE_DELAY, "{slowest:?}");
 }
 
-/// A connection that is quiet stays open, and so does one whose server has left the list.
+/// An idle connection stays open or, if its server drains or is removed from the list, ends with `MOVE`.
 #[rstest]
 #[case::quiet("")]
-#[case::drains("DRAINING")]
-#[case::gone("DELETED")]
+#[case::draining("DRAINING")]
+#[case::deleted("DELETED")]
 fn a_quiet_connection_is_not_cut_off(#[case] health: &str) {
     let mut rig = Rig::start(2);
     let (mut client, server_index, mut server) = rig.establish();
@@ -136,6 +136,6 @@
         common::exchange_lines(&mut client, &mut server);
     } else {
         assert!(!health.is_empty());
-        assert_eq!(client.receive(), "MOVE", "moved, and not cut off");
+        assert_eq!(client.receive(), "MOVE", "cut off without MOVE");
     }
 }
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -65,11 +65,11 @@
 #[case::once_error("once", "all", Answer::Error, Expected::Failed)]
 #[case::once_move("once", "all", Answer::Move, Expected::Failed)]
 #[case::once_nonsense("once", "all", Answer::Nonsense, Expected::Failed)]
-#[case::once_ends("once", "all", Answer::Closes, Expected::Failed)]
+#[case::once_closes("once", "all", Answer::Closes, Expected::Failed)]
 #[case::once_resets("once", "all", Answer::Resets, Expected::Failed)]
 #[case::repeatable_busy("repeatable", "all", Answer::Busy, Expected::Retried)]
 #[case::repeatable_error("repeatable", "all", Answer::Error, Expected::Retried)]
-#[case::repeatable_ends("repeatable", "all", Answer::Closes, Expected::Retried)]
+#[case::repeatable_closes("repeatable", "all", Answer::Closes, Expected::Retried)]
 #[case::repeatable_resets("repeatable", "all", Answer::Resets, Expected::Retried)]
 #[case::by_key_error("by_key", "all", Answer::Error, Expected::Retried)]
 #[case::by_key_resets("by_key", "all", Answer::Resets, Expected::Retried)]
@@ -105,10 +105,10 @@
 /// If the settings announce load reports in answers, a rejection with a valid report proves that nothing was executed; a
 /// damaged or unannounced report proves nothing.
 #[rstest]
-#[case::whole("inline", "BUSY rate=2,x0=0.3", Expected::Retried)]
+#[case::intact("inline", "BUSY rate=2,x0=0.3", Expected::Retried)]
 #[case::without_report("inline", "BUSY", Expected::Retried)]
 #[case::damaged("inline", "BUSY rate=2,x0=", Expected::Failed)]
-#[case::cut("inline", "BUSY rate=2", Expected::Failed)]
+#[case::truncated("inline", "BUSY rate=2", Expected::Failed)]
 #[case::not_announced("off", "BUSY rate=2,x0=0.3", Expected::Failed)]
 #[case::announced_for_health_checks_only("on_probe", "BUSY rate=2,x0=0.3", Expected::Failed)]
 fn a_rejection_may_close_with_the_load_report_that_the_settings_name(
@@ -341,7 +341,7 @@
 #[case::retry("d=3000,g=a,r=1")]
 #[case::reconnect("d=3000,g=a,again=1")]
 #[case::no_group("d=3000")]
-#[case::tenant_that_nobody_knows("t=nobody,d=3000,g=a")]
+#[case::unknown_tenant("t=nobody,d=3000,g=a")]
 #[case::further_figures("d=3000,g=a,h=1234,zz=7,weight=0.5")]
 fn further_fields_are_passed_on(#[case] fields: &str) {
     let mut rig = start(1, "repeatable", "all", 3);
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two processes of one node: what the older holds goes over to the newer, and nothing is lost on the way.
+//! The handoff between two processes of one node: the older hands its connections and state over, and nothing is lost.
 
 mod common;
 use common::{admin_call_at, exchange_lines, send_signal, wait_until, Rig, SyscallFaults};
@@ -8,74 +8,75 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-/// Five times the interval at which a process looks for the lock.
+/// Five times the interval at which a process tries to get the lock.
 const LOCK_SEARCH_TIME: Duration = Duration::from_millis(500);
 
 #[test]
-fn a_standing_connection_goes_over_with_what_waits_on_it_and_nobody_is_moved() {
+fn an_established_connection_is_handed_over_with_its_pending_bytes_and_nobody_is_moved() {
     let mut rig = Rig::start_with_inherited_listener(2);
-    let (mut client, _, mut peer) = rig.establish();
+    let (mut client, _, mut server) = rig.establish();
     let mut waiting = rig.send_request("d=20000,g=b").0;
     let (_, mut slow) = rig.accept_attempt();
     slow.receive();
     let mut late = rig.connect_client();
     late.send("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=ch");
-    peer.send("whole\r\npart");
+    server.send("whole\r\npart");
     assert_eq!(client.receive(), "whole");
-    // Twice, so that a connection that was taken over goes over again.
+    // Twice, so that a connection that was handed over is handed over again.
     for round in 0..2 {
         rig.start_successor();
         rig.accept_watch();
         rig.wait_until_ready();
-        // Each takes its part of the budgets while both take clients in.
+        // Each process has its share of the budgets while both accept clients.
         rig.wait_for_log_count("node budgets divided, processes: 2", 2 + 2 * round);
         send_signal(rig.predecessor.as_ref().unwrap(), "-TERM");
         if round == 0 {
-            // A try under way ends where it began, and its connection follows.
+            // A pending attempt completes in the older process; its connection is handed over afterwards.
             rig.wait_for_log("shutdown started");
             slow.send("UP r2\r\n");
             assert_eq!(waiting.receive(), "UP r2");
         }
         let older = rig.predecessor.as_mut().unwrap();
-        assert!(wait_until("the older process ends", || older.try_wait().unwrap()).success());
+        assert!(wait_until("the older process exits", || older.try_wait().unwrap()).success());
     }
-    peer.send(" of a line\r\n");
+    server.send(" of a line\r\n");
     client.send("hello\r\n");
     assert_eq!(
-        [client.receive(), peer.receive()],
+        [client.receive(), server.receive()],
         ["part of a line", "hello"]
     );
     waiting.send("hello\r\n");
     assert_eq!(slow.receive(), "hello");
     late.send("at,d=1500,g=c\r\n");
     rig.accept_attempt().1.receive();
-    // The newest one knows of them: it moves them at its own end.
+    // The newest process holds the connections: it moves them at its own shutdown.
     rig.signal("-TERM");
     assert_eq!([client.receive(), waiting.receive()], ["MOVE", "MOVE"]);
 }
 
 #[test]
-fn what_waits_for_a_client_that_does_not_read_goes_over_too() {
+fn bytes_for_a_client_that_does_not_read_are_handed_over() {
     let mut rig = Rig::start_with_inherited_listener(1);
-    let (mut client, _, mut peer) = rig.establish();
-    // More than all buffers on the way take.
+    let (mut client, _, mut server) = rig.establish();
+    // More than all buffers between server and client hold.
     let mut text = String::new();
     for number in 0..1_000_000 {
         writeln!(text, "line {number}\r").unwrap();
     }
     let sent = text.clone();
-    let sender = std::thread::spawn(move || peer.send(&sent));
+    let sender = std::thread::spawn(move || server.send(&sent));
     rig.hand_over_to_successor();
     let mut came = vec![0; text.len()];
     client.stream.read_exact(&mut came).unwrap();
     assert!(
         came == text.as_bytes(),
-        "bytes are lost, doubled or in another order"
+        "bytes are lost, duplicated or reordered"
     );
     sender.join().unwrap();
 }
 
-/// Which process a call goes to, and when: before the second one starts, beside it, or after the first has gone.
+/// The drain call goes to one process before the second starts, to either while both run, or to the second after the first
+/// has exited.
 #[rstest]
 #[case::before(0)]
 #[case::to_the_newer(1)]
@@ -83,7 +84,7 @@
 #[case::after(3)]
 fn drained_servers_stay_drained_across_an_upgrade(#[case] when: usize) {
     let mut rig = Rig::start_with_inherited_listener(2);
-    let (mut client, at, _peer) = rig.establish();
+    let (mut client, at, _server) = rig.establish();
     let older = rig.admin_address();
     let down = format!("set-down s-{at}\r\n");
     let call = |rig: &Rig, now: usize| {
@@ -99,7 +100,7 @@
     (1..=2).for_each(|now| call(&rig, now));
     let mut held = Vec::new();
     if when < 3 {
-        // Whichever process it was said to, the one that holds the connection moves it, and both leave it out.
+        // Whichever process got the call, the one that holds the connection moves it, and both drain the server.
         assert_eq!(client.receive(), "MOVE");
         rig.wait_for_log_count("admin drains changed", 2);
         held.extend((0..6).map(|_| rig.establish()));
@@ -131,18 +132,19 @@
     rig.establish();
 }
 
-/// What becomes of the successor by the time of SIGTERM: the older process serves on, takes clients in, and moves all.
+/// If the successor is killed, cannot serve yet or fails during the handoff, the older process keeps serving after SIGTERM,
+/// accepts clients, and moves all of them.
 #[rstest]
 #[case::killed("ready")]
 #[case::cannot_serve("successor connected")]
-#[case::dies_half_way("")]
-fn without_a_successor_a_process_moves_its_clients_as_ever(#[case] until: &str) {
+#[case::fails_during_the_handoff("")]
+fn without_a_usable_successor_a_process_moves_its_clients(#[case] until: &str) {
     let mut rig = Rig::start_with_inherited_listener(1);
-    let (mut client, _, mut peer) = rig.establish();
+    let (mut client, _, mut server) = rig.establish();
     if until.is_empty() {
         let successor = connect_as_successor(&rig);
         send_signal(rig.oldest_process(), "-TERM");
-        // It gets the connection and dies before it says that it has taken it.
+        // The successor receives the connection and fails before it confirms it.
         wait_until("the connection", || {
             let mut packet = [0; 4096];
             let got = (&successor).read(&mut packet).unwrap();
@@ -162,30 +164,30 @@
         });
         send_signal(rig.oldest_process(), "-TERM");
     }
-    exchange_lines(&mut client, &mut peer);
-    let (mut late, _, _peer) = rig.establish();
+    exchange_lines(&mut client, &mut server);
+    let (mut late, _, _server) = rig.establish();
     assert_eq!([client.receive(), late.receive()], ["MOVE", "MOVE"]);
     drop((client, late));
     rig.wait_for_predecessor_exit();
 }
 
-/// A successor that speaks another form of messages is left alone, and so is this process by one.
+/// A successor with another version of the messages, or invalid ones, is disconnected and gets no connection.
 #[rstest]
 #[case::version("{\"Beat\":{\"version\":1,\"clients\":0,\"strangers\":0,\"open\":true}}\n")]
 #[case::nonsense("what?\n")]
 #[case::no_end("{}")]
-fn a_successor_of_another_protocol_gets_nothing(#[case] says: &str) {
+fn a_successor_with_another_protocol_gets_no_connection(#[case] message: &str) {
     let mut rig = Rig::start_with_inherited_listener(1);
-    let (mut client, _, mut peer) = rig.establish();
+    let (mut client, _, mut server) = rig.establish();
     let successor = connect_as_successor(&rig);
-    successor.send(says.as_bytes()).unwrap();
+    successor.send(message.as_bytes()).unwrap();
     rig.wait_for_log("peer process lost");
     send_signal(rig.oldest_process(), "-TERM");
-    exchange_lines(&mut client, &mut peer);
+    exchange_lines(&mut client, &mut server);
     assert_eq!(client.receive(), "MOVE");
 }
 
-/// A successor that the test plays: its connection, with the first heartbeat sent.
+/// Connects to the node in the role of its successor and sends the first heartbeat.
 fn connect_as_successor(rig: &Rig) -> Socket {
     let listen = rig.config["listen"].as_str().unwrap().replace(':', "-");
     let successor = Socket::new(Domain::UNIX, Type::SEQPACKET, None).unwrap();
@@ -207,15 +209,15 @@
     rig.accept_watch();
     rig.wait_until_ready();
     send_signal(rig.predecessor.as_ref().unwrap(), "-KILL");
-    let (mut client, _, mut peer) = rig.establish();
+    let (mut client, _, mut server) = rig.establish();
     rig.wait_for_log("peer process lost");
     rig.hand_over_to_successor();
-    exchange_lines(&mut client, &mut peer);
+    exchange_lines(&mut client, &mut server);
 }
 
-/// The lock of a killed process is held until it is gone. A third process that starts in that time took it in place of the
-/// second one, which had been there for longer; told to end, the second had nobody to hand its clients to, and sent them
-/// `MOVE`. The test holds the lock as the dying process does, and lets the third process look for it first.
+/// A killed process holds its lock until it has exited. If a third process that starts meanwhile got the lock before the
+/// second, the second would have no successor at its shutdown and would send `MOVE` to its clients. The test holds the lock
+/// as the exiting process does, and lets the third process try to get it first.
 #[test]
 fn a_third_process_does_not_take_the_lock_before_the_second_one() {
     let mut rig = Rig::start_with_inherited_listener(2);
@@ -229,7 +231,7 @@
     let lock = hold_lock(&rig);
     rig.resume();
     rig.wait_for_log("peer process lost");
-    let (mut client, _, mut peer) = rig.establish();
+    let (mut client, _, mut server) = rig.establish();
     rig.start_successor();
     send_signal(rig.oldest_process(), "-STOP");
     drop(lock);
@@ -238,10 +240,10 @@
     rig.accept_watch();
     rig.wait_until_ready();
     rig.terminate_predecessor();
-    exchange_lines(&mut client, &mut peer);
+    exchange_lines(&mut client, &mut server);
 }
 
-/// Takes the lock of the node's processes.
+/// Acquires the lock of the node's processes.
 fn hold_lock(rig: &Rig) -> std::fs::File {
     let listen = rig.config["listen"].as_str().unwrap().replace(':', "-");
     let path = rig
@@ -253,21 +255,21 @@
 }
 
 #[test]
-fn what_was_learned_of_servers_goes_over() {
+fn learned_state_of_servers_is_handed_over() {
     let mut rig = Rig::start_with_inherited_listener(2);
-    let (_client, at, _peer) = rig.establish();
-    // The next one of the group finds that it takes no connection any more.
+    let (_client, at, _server) = rig.establish();
+    // The next request of the group finds that the server refuses connections.
     rig.stop_listening(at);
-    // It stands until the end: were both of its ends closed at once, which of them was first would be chance.
+    // This connection is kept to the end of the test: if both of its ends were closed at once, their order would be random.
     let second = rig.establish();
     assert_ne!(second.1, at);
     rig.hand_over_to_successor();
     rig.wait_for_log("learned state imported, limited: 0, ejected: 1, servers: 2");
 }
 
-/// The file is damaged while the process that wrote it lives: it writes it anew.
+/// The drain file is damaged while the process that wrote it is running: that process must rewrite it.
 #[test]
-fn a_damaged_file_is_mended_by_a_process_that_knows_what_it_held() {
+fn a_damaged_drain_file_is_rewritten_by_a_process_that_knows_its_content() {
     let mut rig = Rig::start_with_inherited_listener(2);
     assert_eq!(rig.admin_call("set-down s-0\r\n"), "done");
     let listen = rig.config["listen"].as_str().unwrap().replace(':', "-");
@@ -289,12 +291,12 @@
 #[rstest]
 #[case::damaged("out", "lupincrank-out 1 00000000\n[\"s-0\"]\n")]
 #[case::no_socket("socket", "")]
-#[case::left_over("lock", "")]
-fn files_that_were_left_behind_hinder_no_start(#[case] extension: &str, #[case] text: &str) {
+#[case::leftover_lock("lock", "")]
+fn leftover_files_prevent_no_start(#[case] extension: &str, #[case] text: &str) {
     let mut rig = Rig::start_with_inherited_listener(1);
     kill_and_wait(&mut rig);
     let listen = rig.config["listen"].as_str().unwrap().replace(':', "-");
-    // What a killed process leaves at this path is a socket.
+    // A killed process leaves a socket at the `socket` path.
     let _ = std::fs::remove_file(
         rig.runtime_directory()
             .join(format!("lupincrank-{listen}.{extension}")),
@@ -305,11 +307,11 @@
         text,
     )
     .unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     rig.start_successor();
     rig.accept_watch();
     rig.wait_until_ready();
-    assert!(began.elapsed() < Duration::from_secs(6));
+    assert!(started_at.elapsed() < Duration::from_secs(6));
     rig.establish();
     if extension == "out" {
         rig.wait_for_log("its checksum does not fit");
@@ -328,7 +330,7 @@
 #[case::not_a_number("seven")]
 fn a_descriptor_that_is_no_listener_at_the_address_ends_the_start(#[case] descriptor: &str) {
     let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let run = std::process::Command::new("/bin/sh")
+    let output = std::process::Command::new("/bin/sh")
         .args(["-c", "exec 8<&0 0</dev/null 3</dev/null; exec \"$@\"", "sh"])
         .args([
             env!("CARGO_BIN_EXE_lupincrank"),
@@ -340,17 +342,17 @@
         .stdin(std::os::fd::OwnedFd::from(other))
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&run.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
-        !run.status.success() && said.contains("RELAY_INHERITED_FD"),
-        "{said}"
+        !output.status.success() && stderr.contains("RELAY_INHERITED_FD"),
+        "{stderr}"
     );
 }
 
-/// The older process is killed when it has sent a connection and before the newer has said that it takes it: there is nobody else
-/// whose it could be.
+/// The older process is killed after it has sent connections and before the newer process has confirmed them: the newer one
+/// must take them over, because no other process holds them.
 #[test]
-fn what_a_process_sent_before_it_was_killed_is_not_lost() {
+fn connections_that_a_process_sent_before_it_was_killed_are_not_lost() {
     let mut rig = Rig::start_with_inherited_listener(1);
     let mut held = vec![rig.establish(), rig.establish(), rig.establish()];
     rig.start_successor();
@@ -364,17 +366,17 @@
     rig.oldest_process().wait().unwrap();
     rig.resume();
     rig.wait_for_log_count("connection taken over from dead process", held.len());
-    for (client, _, peer) in &mut held {
-        exchange_lines(client, peer);
+    for (client, _, server) in &mut held {
+        exchange_lines(client, server);
     }
-    // It is the only process now, and goes on as one.
+    // The newer process is the only one and continues alone.
     rig.establish();
     rig.hand_over_to_successor();
-    let (client, _, peer) = &mut held[0];
-    exchange_lines(client, peer);
+    let (client, _, server) = &mut held[0];
+    exchange_lines(client, server);
 }
 
-/// A drain is on the disk before it is answered: where it cannot be synced, the answer says so and nothing has changed.
+/// A drain is on the disk before the answer: if it cannot be stored, the answer is an error and nothing changes.
 #[rstest]
 #[case::not_synced("sync=EIO:100")]
 #[case::not_created("create=ENOSPC:100")]
@@ -383,17 +385,20 @@
     let mut rig = Rig::start_inheriting_with_faults(1, SyscallFaults::new(plan, 1));
     assert!(rig.admin_call("set-down s-0\r\n").starts_with("error "));
     let (_client, server_index, _server) = rig.establish();
-    assert_eq!(server_index, 0, "it is still used");
+    assert_eq!(server_index, 0, "the server is still used");
     rig.switch_faults_off();
     assert_eq!(rig.admin_call("set-down s-0\r\n"), "done");
     rig.hand_over_to_successor();
     let (mut client, _) = rig.send_request("d=1500,g=b");
-    assert!(client.receive().starts_with("BUSY"), "it stays drained");
+    assert!(
+        client.receive().starts_with("BUSY"),
+        "the server stays drained"
+    );
 }
 
-/// A process whose reads of the file fail for a moment does not write over what the other one has stored.
+/// A process whose reads of the drain file fail for a moment must not overwrite the drains that the other one has stored.
 #[test]
-fn a_read_of_the_drains_that_fails_for_a_moment_writes_nothing_over_them() {
+fn a_read_of_the_drain_file_that_fails_for_a_moment_overwrites_nothing() {
     let mut rig = Rig::start_with_inherited_listener(2);
     let older_admin_address = rig.admin_address();
     rig.set_faults(SyscallFaults::new("read=EIO:100", 1));
@@ -411,5 +416,5 @@
     rig.wait_for_log_count("admin drains changed, servers: s-0", 2);
     rig.terminate_predecessor();
     let (_client, server_index, _server) = rig.establish();
-    assert_eq!(server_index, 1, "the other one stays drained");
+    assert_eq!(server_index, 1, "s-0 stays drained");
 }
