--- a/crates/node/tests/cluster_faults.rs
+++ b/crates/node/tests/cluster_faults.rs
@@ -54,8 +54,8 @@
     assert!(!log.contains("replaced by a later process"), "{log}");
 }
 
-/// The disks of three of five nodes fail for a while, and a node is killed meanwhile: the control group elects a leader once
-/// the disks recover, and everything stored before is still there after restarts.
+/// The disks of three of five nodes fail for a while, and a node is killed meanwhile: the control group elects a leader
+/// once the disks recover, and everything stored before is still there after restarts.
 #[rstest]
 fn a_transient_disk_failure_costs_no_member(
     #[values("pwrite=ENOSPC:100", "sync=EIO:100", "pwrite=EIO:50,sync=EIO:50")] plan: &str,
--- a/crates/node/tests/common/line_stream.rs
+++ b/crates/node/tests/common/line_stream.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Receives the next line without its terminator, or `None` if the connection has ended or failed, or nothing arrived
-    /// in [`WAIT_TIMEOUT`].
+    /// Receives the next line without its terminator, or `None` if the connection has ended or failed, or nothing
+    /// arrived in [`WAIT_TIMEOUT`].
     pub fn try_receive(&mut self) -> Option<String> {
         let mut byte = [0];
         while !self.received.ends_with(b"\r\n") {
--- a/crates/node/tests/common/requests.rs
+++ b/crates/node/tests/common/requests.rs
@@ -55,8 +55,8 @@
         (client, server_index, server)
     }
 
-    /// Waits until the close of this client's connection has arrived at the node, which may be paused. On a busy machine
-    /// the kernel delivers it late.
+    /// Waits until the close of this client's connection has arrived at the node, which may be paused. On a busy
+    /// machine the kernel delivers it late.
     pub fn wait_for_client_close(&self, client: SocketAddr) {
         wait_until("the close arrives", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
--- a/crates/node/tests/common/rig.rs
+++ b/crates/node/tests/common/rig.rs
@@ -339,7 +339,8 @@
         self.signal("-HUP");
     }
 
-    /// Changes the settings so that no delay of this machine counts as a server's overload, which would reject requests.
+    /// Changes the settings so that no delay of this machine counts as a server's overload, which would reject
+    /// requests.
     pub fn allow_long_delays(&mut self) {
         const LONG_NS: u64 = 20_000_000_000;
         self.change_settings(|settings| {
@@ -376,8 +377,8 @@
         });
     }
 
-    /// Keeps connections to this server from being established until the guard is released. The kernel retries a waiting
-    /// connect after a second.
+    /// Keeps connections to this server from being established until the guard is released. The kernel retries a
+    /// waiting connect after a second.
     pub fn fill_backlog(&self, server: usize) -> FullBacklog {
         FullBacklog::fill(self.servers[server].as_ref().unwrap())
     }
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -50,8 +50,8 @@
     NodeKilled,
 }
 
-/// Bytes in the kernel's buffer must not be delivered once the network recovers, if the attempt has ended: the server may
-/// execute the request when its last byte arrives.
+/// Bytes in the kernel's buffer must not be delivered once the network recovers, if the attempt has ended: the server
+/// may execute the request when its last byte arrives.
 #[rstest]
 fn undelivered_bytes_are_dropped_when_the_attempt_ends(
     #[values(
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -65,12 +65,12 @@
     })
 }
 
-/// Hundreds of idle clients use up the descriptors while discovery is down. When discovery recovers, the node must open its
-/// watch, apply changes, serve a request and answer admin calls, and never exceed its descriptor limit.
+/// Hundreds of idle clients use up the descriptors while discovery is down. When discovery recovers, the node must open
+/// its watch, apply changes, serve a request and answer admin calls, and never exceed its descriptor limit.
 #[rstest]
 fn idle_clients_block_nobody_when_discovery_recovers(#[values(64, 80)] sockets: usize) {
     let mut rig = Rig::start_with_descriptors(2, sockets);
-    let (held, server_index, _server) = rig.establish();
+    let (established, server_index, _server) = rig.establish();
     let reserved = rig.stop_discovery();
     rig.wait_for_log("discovery failed");
     let idle = idle_clients(rig.client_address(), 200);
@@ -110,7 +110,7 @@
     assert!(checked < Duration::from_secs(1), "{checked:?}");
     assert!(served < Duration::from_secs(1), "{served:?}");
     assert!(max_count <= sockets, "{max_count} descriptors");
-    drop((idle, held, client, server));
+    drop((idle, established, client, server));
 }
 
 /// The state of discovery while the nodes start.
@@ -125,7 +125,7 @@
 
 /// Runs one discovery service behind the listeners of all nodes.
 fn run_shared_discovery(listeners: Vec<TcpListener>, discovery: Discovery) -> Background {
-    let (mut waiting, mut held, mut free_at) = (VecDeque::new(), Vec::new(), Instant::now());
+    let (mut waiting, mut established, mut free_at) = (VecDeque::new(), Vec::new(), Instant::now());
     Background::run(move || {
         for listener in &listeners {
             while let Ok((stream, _)) = listener.accept() {
@@ -147,12 +147,12 @@
                 &mut call.stream,
                 if is_late { BUSY } else { NEW_WATCH }.as_bytes(),
             );
-            held.extend((!is_late).then_some(call));
+            established.extend((!is_late).then_some(call));
         }
     })
 }
 
-/// Thirty of 300 nodes start at once, and discovery gives them no answers or too few: nine in ten are ready within 10 s.
+/// Thirty of 300 nodes start at once, and discovery answers none or too few of them: nine in ten are ready within 10 s.
 #[rstest]
 #[case::down(Discovery::Down)]
 #[case::hangs(Discovery::Hangs)]
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -190,12 +190,14 @@
     rig.announce_health(server_index, "DELETED", 2);
     rig.announce_health(server_index, "SERVING", 3);
     rig.wait_for_log("seq: 3");
-    let held: Vec<_> = (0..4).map(|_| rig.establish()).collect();
-    assert!(held.iter().all(|(_, to, _)| *to != server_index));
+    let established: Vec<_> = (0..4).map(|_| rig.establish()).collect();
+    assert!(established
+        .iter()
+        .all(|(_, chosen, _)| *chosen != server_index));
     // A restored connection would be a new one for the server, too.
     let (mut old, _) = rig.send_request(&format!("d=30000,g=a,at=s-{server_index}"));
     assert_eq!(old.receive(), "BUSY");
-    drop(held);
+    drop(established);
     rig.undrain(server_index);
 }
 
--- a/crates/node/tests/operation_limits.rs
+++ b/crates/node/tests/operation_limits.rs
@@ -53,8 +53,8 @@
     assert!(counts[0] > 0 && counts[1] > 0, "{counts:?}");
 }
 
-/// The first object of a watch is truncated by the end of the connection: none of it is applied, and the next call asks for
-/// changes from the previous version.
+/// The first object of a watch is truncated by the end of the connection: none of it is applied, and the next call
+/// requests changes from the previous version.
 #[test]
 fn a_list_truncated_by_the_end_of_the_watch_is_requested_again() {
     let mut rig = Rig::start(2);
--- a/crates/node/tests/process_limits.rs
+++ b/crates/node/tests/process_limits.rs
@@ -226,10 +226,10 @@
 #[test]
 fn a_process_without_descriptors_does_not_spin() {
     let rig = Rig::start_changed(1, 64, None, |_| {});
-    let held = descriptor_count(rig.process_id()) as u64;
+    let open_count = descriptor_count(rig.process_id()) as u64;
     let limit = Rlimit {
-        current: Some(held),
-        maximum: Some(held),
+        current: Some(open_count),
+        maximum: Some(open_count),
     };
     let process = Pid::from_raw(rig.process_id() as i32);
     prlimit(process, Resource::Nofile, limit).unwrap();
--- a/crates/node/tests/protocol.rs
+++ b/crates/node/tests/protocol.rs
@@ -176,25 +176,30 @@
 fn all_connections_of_an_unresponsive_server_are_migrated_at_once() {
     let mut rig = Rig::start(2);
     let (mut other, server_index, mut other_server) = rig.establish();
-    let mut held = Vec::new();
+    let mut established = Vec::new();
     // Each client has its own group, so that both servers get some of them.
     wait_until("three connections at the other server", || {
-        let (mut client, _) = rig.send_request(&format!("d=1500,g={}", held.len()));
-        let (to, mut server) = rig.accept_attempt();
+        let (mut client, _) = rig.send_request(&format!("d=1500,g={}", established.len()));
+        let (chosen, mut server) = rig.accept_attempt();
         server.receive();
         server.send("UP r1\r\n");
         assert_eq!(client.receive(), "UP r1");
-        held.push((client, to, server));
-        (held.iter().filter(|(_, to, _)| *to != server_index).count() == 3).then_some(())
+        established.push((client, chosen, server));
+        (established
+            .iter()
+            .filter(|(_, chosen, _)| *chosen != server_index)
+            .count()
+            == 3)
+            .then_some(())
     });
-    let mut held: Vec<_> = held
+    let mut established: Vec<_> = established
         .into_iter()
-        .filter(|(_, to, _)| *to != server_index)
+        .filter(|(_, chosen, _)| *chosen != server_index)
         .collect();
-    held[0].0.send("hello\r\n");
-    held[1].0.send("hello\r\n");
+    established[0].0.send("hello\r\n");
+    established[1].0.send("hello\r\n");
     let started_at = Instant::now();
-    while held[2].0.is_quiet() {
+    while established[2].0.is_quiet() {
         other.send("hello\r\n");
         assert_eq!(other_server.receive(), "hello");
         other_server.send("hello\r\n");
@@ -205,7 +210,7 @@
         );
         assert!(started_at.elapsed() < common::WAIT_TIMEOUT);
     }
-    for (client, _, _) in &mut held {
+    for (client, _, _) in &mut established {
         assert_eq!(client.receive(), "MOVE");
     }
 }
@@ -213,17 +218,17 @@
 #[test]
 fn a_draining_server_gets_no_new_requests() {
     let mut rig = Rig::start(2);
-    let mut held = vec![rig.establish()];
-    let server_index = held[0].1;
+    let mut established = vec![rig.establish()];
+    let server_index = established[0].1;
     rig.announce_health(server_index, "DRAINING", 2);
     // The change is visible only in the node's choices: once a request of this group goes elsewhere, all do.
     wait_until("the change", || {
-        held.push(rig.establish());
-        (held.last()?.1 != server_index).then_some(())
+        established.push(rig.establish());
+        (established.last()?.1 != server_index).then_some(())
     });
     for _ in 0..5 {
-        held.push(rig.establish());
-        assert_ne!(held.last().unwrap().1, server_index);
+        established.push(rig.establish());
+        assert_ne!(established.last().unwrap().1, server_index);
     }
 }
 
@@ -313,10 +318,10 @@
 #[test]
 fn clients_are_answered_while_descriptors_run_out_and_served_once_they_are_free() {
     let mut rig = Rig::start_with_descriptors(1, 68);
-    let held: Vec<_> = (0..9).map(|_| rig.establish()).collect();
+    let established: Vec<_> = (0..9).map(|_| rig.establish()).collect();
     let (mut client, _) = rig.send_request("d=1000,g=a");
     assert!(client.receive().starts_with("BUSY "));
-    drop(held);
+    drop(established);
     wait_until("a free descriptor", || {
         // A client that disconnects at once would cancel its attempt before it starts.
         let (mut client, _) = rig.send_request("d=1000,g=a");
@@ -406,13 +411,13 @@
 #[test]
 fn hundreds_of_silent_connections_keep_no_client_out() {
     let mut rig = Rig::start_with_descriptors(1, 256);
-    let mut held = Vec::new();
+    let mut established = Vec::new();
     let mut silent = Vec::new();
     for _ in 0..30 {
         silent.extend((0..20).map(|_| rig.connect_client()));
-        held.push(rig.establish());
+        established.push(rig.establish());
     }
-    for (client, _, server) in &mut held {
+    for (client, _, server) in &mut established {
         client.send("hello\r\n");
         assert_eq!(server.receive(), "hello");
     }
--- a/crates/node/tests/races.rs
+++ b/crates/node/tests/races.rs
@@ -1,4 +1,5 @@
-//! Pairs of events that can happen in either order, each order forced. `docs/design/races.md` lists the expected results.
+//! Pairs of events that can happen in either order, each order forced. `docs/design/races.md` lists the expected
+//! results.
 
 mod common;
 use common::{reset_connection, wait_until, Rig};
@@ -35,8 +36,8 @@
     rig.wait_for_client_close(from);
 }
 
-/// The client disconnects and the attempt connects in one turn of the event loop, in either order: the line of a client that
-/// has disconnected must not be sent in either case.
+/// The client disconnects and the attempt connects in one turn of the event loop, in either order: the line of a client
+/// that has disconnected must not be sent in either case.
 #[rstest]
 fn a_request_whose_client_has_left_is_not_sent_when_its_attempt_connects(
     #[values(Departure::Closes, Departure::Resets, Departure::SendsMore)] departure: Departure,
@@ -93,16 +94,16 @@
     // The next request that is forwarded is of another client.
     let (_client, line) = rig.send_request("d=20000,g=last");
     let id = line.split(' ').nth(1).unwrap().to_string();
-    let said = wait_until("the next request", || {
-        Some(rig.accept_attempt().1.receive()).filter(|said| !said.is_empty())
+    let received = wait_until("the next request", || {
+        Some(rig.accept_attempt().1.receive()).filter(|received| !received.is_empty())
     });
-    assert!(said.contains(&id), "{said}");
+    assert!(received.contains(&id), "{received}");
 }
 
 /// The server starts to drain while the attempt connects, which takes longer than the grace period.
 #[rstest]
 #[case::drains("DRAINING")]
-#[case::gone("DELETED")]
+#[case::deleted("DELETED")]
 #[case::admin_drain("")]
 fn a_request_is_not_sent_to_a_server_that_drains_while_the_attempt_connects(#[case] health: &str) {
     let mut rig = Rig::start(1);
@@ -147,9 +148,11 @@
     };
     rig.write_to_watch(format!("{text}\n").as_bytes(), chunk_size);
     rig.wait_for_log(&format!("endpoint list changed, entries: 2, seq: {seq}"));
-    let held: Vec<_> = (0..6).map(|_| rig.establish()).collect();
+    let established: Vec<_> = (0..6).map(|_| rig.establish()).collect();
     assert!(
-        held.iter().all(|(_, server_index, _)| *server_index == 1),
+        established
+            .iter()
+            .all(|(_, server_index, _)| *server_index == 1),
         "the first server drains"
     );
     // The next watch starts from that version.
@@ -192,11 +195,11 @@
         rig.accept_discovery_call().1,
         "GET /v1/endpoints?watch=1&from=1 HTTP/1.1"
     );
-    let held: Vec<_> = (0..12)
+    let established: Vec<_> = (0..12)
         .map(|n| rig.establish_in_group(&format!("g{n}")))
         .collect();
     assert!(
-        (0..2).all(|server| held
+        (0..2).all(|server| established
             .iter()
             .any(|(_, server_index, _)| *server_index == server)),
         "both servers are used as before"
@@ -238,11 +241,13 @@
         "{:?}",
         silent_since.elapsed()
     );
-    let held: Vec<_> = (0..6)
+    let established: Vec<_> = (0..6)
         .map(|n| rig.establish_in_group(&format!("g{n}")))
         .collect();
     assert!(
-        held.iter().all(|(_, server_index, _)| *server_index == 1),
+        established
+            .iter()
+            .all(|(_, server_index, _)| *server_index == 1),
         "the first server drains"
     );
 }
@@ -262,8 +267,8 @@
     assert!(rig.discovery.accept().is_err(), "no further call");
 }
 
-/// Discovery rejects calls, or accepts them and never answers; then it recovers and answers the next call. That call must
-/// come early enough for changes from the recovery on to be applied in time.
+/// Discovery rejects calls, or accepts them and never answers; then it recovers and answers the next call. That call
+/// must come early enough for changes from the recovery on to be applied in time.
 #[rstest]
 #[case::down(true)]
 #[case::hangs(false)]
@@ -344,10 +349,10 @@
     });
     rig.wait_for_log("request received");
     rig.signal("-TERM");
-    let said = client.receive();
+    let received = client.receive();
     assert!(
-        said == answer || (answer.ends_with(' ') && said.starts_with(answer)),
-        "{said:?}"
+        received == answer || (answer.ends_with(' ') && received.starts_with(answer)),
+        "{received:?}"
     );
     assert_eq!(client.receive(), "", "one answer");
     if let Some(mut server) = server {
@@ -415,8 +420,8 @@
     endless.join().unwrap();
 }
 
-/// The retry connects only after the window in which it is allowed: it must not be sent, and the client gets the answer that
-/// its class allows.
+/// The retry connects only after the window in which it is allowed: it must not be sent, and the client gets the answer
+/// that its class allows.
 #[rstest]
 #[case::anywhere("all", "BUSY")]
 #[case::in_a_zone("zone", "ERR")]
--- a/crates/node/tests/relays.rs
+++ b/crates/node/tests/relays.rs
@@ -33,8 +33,8 @@
     } else {
         server.stream.shutdown(Shutdown::Both).unwrap();
     }
-    let (_, took) = read_to_end(&mut client);
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    let (_, duration) = read_to_end(&mut client);
+    assert!(duration < Duration::from_secs(1), "{duration:?}");
 }
 
 /// `MOVE` from a draining server reaches its client between two lines, and both sides are closed.
@@ -44,9 +44,9 @@
     let (mut client, _, mut server) = rig.establish();
     server.send("first\r\nMOVE\r\n");
     server.stream.shutdown(Shutdown::Write).unwrap();
-    let (text, took) = read_to_end(&mut client);
+    let (text, duration) = read_to_end(&mut client);
     assert_eq!(text, "first\r\nMOVE\r\n");
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    assert!(duration < Duration::from_secs(1), "{duration:?}");
     drop(client);
     assert_eq!(server.receive(), "", "the server's side is closed, too");
 }
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -13,8 +13,8 @@
 /// Allowed delay of an answer after the request's deadline.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// Starts a node whose class allows retries as `effect` names, and whose attempts, `max_attempts` at most, wait for their
-/// answers until the deadline.
+/// Starts a node whose class allows retries as `effect` names, and whose attempts, `max_attempts` at most, wait for
+/// their answers until the deadline.
 fn start(server_count: usize, effect: &str, group: &str, max_attempts: u32) -> Rig {
     Rig::start_with_config(server_count, |config| {
         let settings = &mut config["settings"];
@@ -102,8 +102,8 @@
     }
 }
 
-/// If the settings announce load reports in answers, a rejection with a valid report proves that nothing was executed; a
-/// damaged or unannounced report proves nothing.
+/// If the settings announce load reports in answers, a rejection with a valid report proves that nothing was executed;
+/// a damaged or unannounced report proves nothing.
 #[rstest]
 #[case::intact("inline", "BUSY rate=2,x0=0.3", Expected::Retried)]
 #[case::without_report("inline", "BUSY", Expected::Retried)]
@@ -264,8 +264,8 @@
     field.unwrap().parse().unwrap()
 }
 
-/// The forwarded line contains the time that the node still waits: the time spent on connecting is subtracted, and a retry
-/// has less time than the attempt before it.
+/// The forwarded line contains the time that the node still waits: the time spent on connecting is subtracted, and a
+/// retry has less time than the attempt before it.
 #[test]
 fn a_forwarded_line_contains_the_time_that_is_left_when_it_is_sent() {
     let mut rig = Rig::start(1);
--- a/crates/node/tests/shutdown.rs
+++ b/crates/node/tests/shutdown.rs
@@ -313,8 +313,8 @@
 }
 
 /// The process is paused past the end of the shutdown, and accepts fail for a moment then. If the last round of accepts
-/// stopped at its first error (log line `accept failed`), the exit would reset the connections that wait in the kernel's
-/// queue; they must be answered.
+/// stopped at its first error (log line `accept failed`), the exit would reset the connections that wait in the
+/// kernel's queue; they must be answered.
 #[rstest]
 #[case::aborted("accept=ECONNABORTED:30")]
 #[case::files("accept=ENFILE:30")]
@@ -358,8 +358,8 @@
     assert!(started_at.elapsed() < Duration::from_secs(1));
 }
 
-/// A node without clients exits early, but not while accepts fail: a connection that arrived soon enough after SIGTERM must
-/// be served.
+/// A node without clients exits early, but not while accepts fail: a connection that arrived soon enough after SIGTERM
+/// must be served.
 #[test]
 fn a_node_without_clients_does_not_exit_while_accepts_fail() {
     let faults = SyscallFaults::new("accept=ENFILE:100", 1);
@@ -377,8 +377,8 @@
     assert!(rig.wait_for_exit().success());
 }
 
-/// The request of a client that closes or half-closes its connection after the first line is not forwarded; a client that
-/// still reads gets an answer.
+/// The request of a client that closes or half-closes its connection after the first line is not forwarded; a client
+/// that still reads gets an answer.
 #[test]
 fn a_request_of_a_half_closed_client_is_answered_and_not_forwarded() {
     let mut rig = Rig::start(1);
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -15,7 +15,8 @@
 /// Time from SIGTERM to the earliest SIGKILL if the longest deadline is 2 s.
 const KILL_DELAY: Duration = Duration::from_millis(2700);
 
-/// Starts a node in which calls fail. No delay of this machine counts as a server's overload, which would reject requests.
+/// Starts a node in which calls fail. No delay of this machine counts as a server's overload, which would reject
+/// requests.
 fn start(server_count: usize, plan: &str) -> Rig {
     let faults = SyscallFaults::new(plan, 7);
     let mut rig = Rig::start_changed(server_count, DESCRIPTORS, Some(faults), |_| {});
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -18,8 +18,8 @@
     let mut waiting = rig.send_request("d=20000,g=b").0;
     let (_, mut slow) = rig.accept_attempt();
     slow.receive();
-    let mut late = rig.connect_client();
-    late.send("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=ch");
+    let mut unidentified = rig.connect_client();
+    unidentified.send("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=ch");
     server.send("whole\r\npart");
     assert_eq!(client.receive(), "whole");
     // Twice, so that a connection that was handed over is handed over again.
@@ -47,7 +47,7 @@
     );
     waiting.send("hello\r\n");
     assert_eq!(slow.receive(), "hello");
-    late.send("at,d=1500,g=c\r\n");
+    unidentified.send("at,d=1500,g=c\r\n");
     rig.accept_attempt().1.receive();
     // The newest process holds the connections: it moves them at its own shutdown.
     rig.signal("-TERM");
@@ -66,17 +66,17 @@
     let sent = text.clone();
     let sender = std::thread::spawn(move || server.send(&sent));
     rig.hand_over_to_successor();
-    let mut came = vec![0; text.len()];
-    client.stream.read_exact(&mut came).unwrap();
+    let mut received = vec![0; text.len()];
+    client.stream.read_exact(&mut received).unwrap();
     assert!(
-        came == text.as_bytes(),
+        received == text.as_bytes(),
         "bytes are lost, duplicated or reordered"
     );
     sender.join().unwrap();
 }
 
-/// The drain call goes to one process before the second starts, to either while both run, or to the second after the first
-/// has exited.
+/// The drain call goes to one process before the second starts, to either while both run, or to the second after the
+/// first has exited.
 #[rstest]
 #[case::before(0)]
 #[case::to_the_newer(1)]
@@ -84,9 +84,9 @@
 #[case::after(3)]
 fn drained_servers_stay_drained_across_an_upgrade(#[case] when: usize) {
     let mut rig = Rig::start_with_inherited_listener(2);
-    let (mut client, at, _server) = rig.establish();
+    let (mut client, server_index, _server) = rig.establish();
     let older = rig.admin_address();
-    let down = format!("set-down s-{at}\r\n");
+    let down = format!("set-down s-{server_index}\r\n");
     let call = |rig: &Rig, now: usize| {
         if when == now {
             let address = if now == 2 { older } else { rig.admin_address() };
@@ -98,20 +98,22 @@
     rig.accept_watch();
     rig.wait_until_ready();
     (1..=2).for_each(|now| call(&rig, now));
-    let mut held = Vec::new();
+    let mut established = Vec::new();
     if when < 3 {
         // Whichever process got the call, the one that holds the connection moves it, and both drain the server.
         assert_eq!(client.receive(), "MOVE");
         rig.wait_for_log_count("admin drains changed", 2);
-        held.extend((0..6).map(|_| rig.establish()));
+        established.extend((0..6).map(|_| rig.establish()));
         drop(client);
     }
     rig.terminate_predecessor();
     call(&rig, 3);
-    held.extend((0..4).map(|_| rig.establish()));
-    assert!(held.iter().all(|(_, to, _)| *to != at));
-    drop(held);
-    rig.undrain(at);
+    established.extend((0..4).map(|_| rig.establish()));
+    assert!(established
+        .iter()
+        .all(|(_, chosen, _)| *chosen != server_index));
+    drop(established);
+    rig.undrain(server_index);
 }
 
 #[test]
@@ -132,8 +134,8 @@
     rig.establish();
 }
 
-/// If the successor is killed, cannot serve yet or fails during the handoff, the older process keeps serving after SIGTERM,
-/// accepts clients, and moves all of them.
+/// If the successor is killed, cannot serve yet or fails during the handoff, the older process keeps serving after
+/// SIGTERM, accepts clients, and moves all of them.
 #[rstest]
 #[case::killed("ready")]
 #[case::cannot_serve("successor connected")]
@@ -165,9 +167,9 @@
         send_signal(rig.oldest_process(), "-TERM");
     }
     exchange_lines(&mut client, &mut server);
-    let (mut late, _, _server) = rig.establish();
-    assert_eq!([client.receive(), late.receive()], ["MOVE", "MOVE"]);
-    drop((client, late));
+    let (mut new_client, _, _server) = rig.establish();
+    assert_eq!([client.receive(), new_client.receive()], ["MOVE", "MOVE"]);
+    drop((client, new_client));
     rig.wait_for_predecessor_exit();
 }
 
@@ -215,9 +217,9 @@
     exchange_lines(&mut client, &mut server);
 }
 
-/// A killed process holds its lock until it has exited. If a third process that starts meanwhile got the lock before the
-/// second, the second would have no successor at its shutdown and would send `MOVE` to its clients. The test holds the lock
-/// as the exiting process does, and lets the third process try to get it first.
+/// A killed process holds its lock until it has exited. If a third process that starts meanwhile got the lock before
+/// the second, the second would have no successor at its shutdown and would send `MOVE` to its clients. The test holds
+/// the lock as the exiting process does, and lets the third process try to get it first.
 #[test]
 fn a_third_process_does_not_take_the_lock_before_the_second_one() {
     let mut rig = Rig::start_with_inherited_listener(2);
@@ -257,12 +259,13 @@
 #[test]
 fn learned_state_of_servers_is_handed_over() {
     let mut rig = Rig::start_with_inherited_listener(2);
-    let (_client, at, _server) = rig.establish();
+    let (_client, server_index, _server) = rig.establish();
     // The next request of the group finds that the server refuses connections.
-    rig.stop_listening(at);
-    // This connection is kept to the end of the test: if both of its ends were closed at once, their order would be random.
+    rig.stop_listening(server_index);
+    // This connection is kept to the end of the test: if both of its ends were closed at once, their order would be
+    // random.
     let second = rig.establish();
-    assert_ne!(second.1, at);
+    assert_ne!(second.1, server_index);
     rig.hand_over_to_successor();
     rig.wait_for_log("learned state imported, limited: 0, ejected: 1, servers: 2");
 }
@@ -285,7 +288,7 @@
         .map(|_| rig.establish())
         .collect::<Vec<_>>()
         .iter()
-        .all(|(_, to, _)| *to == 1));
+        .all(|(_, chosen, _)| *chosen == 1));
 }
 
 #[rstest]
@@ -349,30 +352,30 @@
     );
 }
 
-/// The older process is killed after it has sent connections and before the newer process has confirmed them: the newer one
-/// must take them over, because no other process holds them.
+/// The older process is killed after it has sent connections and before the newer process has confirmed them: the newer
+/// one must take them over, because no other process holds them.
 #[test]
 fn connections_that_a_process_sent_before_it_was_killed_are_not_lost() {
     let mut rig = Rig::start_with_inherited_listener(1);
-    let mut held = vec![rig.establish(), rig.establish(), rig.establish()];
+    let mut established = vec![rig.establish(), rig.establish(), rig.establish()];
     rig.start_successor();
     rig.accept_watch();
     rig.wait_until_ready();
     rig.wait_for_log_count("node budgets divided, processes: 2", 2);
     rig.pause();
     send_signal(rig.oldest_process(), "-TERM");
-    rig.wait_for_log_count("relay transfer started", held.len());
+    rig.wait_for_log_count("relay transfer started", established.len());
     send_signal(rig.oldest_process(), "-KILL");
     rig.oldest_process().wait().unwrap();
     rig.resume();
-    rig.wait_for_log_count("connection taken over from dead process", held.len());
-    for (client, _, server) in &mut held {
+    rig.wait_for_log_count("connection taken over from dead process", established.len());
+    for (client, _, server) in &mut established {
         exchange_lines(client, server);
     }
     // The newer process is the only one and continues alone.
     rig.establish();
     rig.hand_over_to_successor();
-    let (client, _, server) = &mut held[0];
+    let (client, _, server) = &mut established[0];
     exchange_lines(client, server);
 }
 
@@ -396,7 +399,8 @@
     );
 }
 
-/// A process whose reads of the drain file fail for a moment must not overwrite the drains that the other one has stored.
+/// A process whose reads of the drain file fail for a moment must not overwrite the drains that the other one has
+/// stored.
 #[test]
 fn a_read_of_the_drain_file_that_fails_for_a_moment_overwrites_nothing() {
     let mut rig = Rig::start_with_inherited_listener(2);
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -31,8 +31,8 @@
     UndatedFirstListWithAnother,
 }
 
-/// Returns the number of requests that go to a server reported in this list, `age` after its start, if the node's wall clock
-/// is this far ahead from the node's start on.
+/// Returns the number of requests that go to a server reported in this list, `age` after its start, if the node's wall
+/// clock is this far ahead from the node's start on.
 fn requests_to_starting_server(
     reported_in: ReportedIn,
     clock_offset_seconds: i64,
@@ -107,7 +107,8 @@
     );
 }
 
-/// A node whose wall clock is ahead at its start must not send a server in slow start its full share of requests at once.
+/// A node whose wall clock is ahead at its start must not send a server in slow start its full share of requests at
+/// once.
 #[rstest]
 fn a_server_of_the_first_list_is_in_slow_start_whatever_the_wall_clock_says(
     #[values(3600, 30, -3600, -30)] clock_offset_seconds: i64,
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,7 +1,8 @@
-//! Clients of a node in an open loop: latency counts from the planned time of a connection, not from the time of sending.
+//! Clients of a node in an open loop: latency counts from the planned time of a connection, not from the time of
+//! sending.
 //!
-//! A session sends a request, retries if it is rejected, keeps its connection for as long as planned, and reconnects if the
-//! connection is migrated or ends unexpectedly.
+//! A session sends a request, retries if it is rejected, keeps its connection for as long as planned, and reconnects if
+//! the connection is migrated or ends unexpectedly.
 
 use crate::line_stream::LineStream;
 use crate::observation::{Answer, ConnectionEnd, Observation};
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -33,7 +33,8 @@
     Reevaluate,
 }
 
-/// The purpose of a component's deadline. Deadlines of one component that expire at the same instant fire in this order.
+/// The purpose of a component's deadline. Deadlines of one component that expire at the same instant fire in this
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeadlineKind {
     /// An upstream server compares its load with its capacity.
--- a/crates/test-servers/src/upstream_server/mod.rs
+++ b/crates/test-servers/src/upstream_server/mod.rs
@@ -1,7 +1,7 @@
 //! Upstream servers with a limited capacity.
 //!
-//! A server has only a fraction of its capacity while it warms up, and crashes if it is overloaded in that time. It answers
-//! more slowly the more connections it has, and closes them one by one when it drains.
+//! A server has only a fraction of its capacity while it warms up, and crashes if it is overloaded in that time. It
+//! answers more slowly the more connections it has, and closes them one by one when it drains.
 
 mod listener;
 mod session;
