--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -317,7 +317,7 @@
     assert!(started_at.elapsed() < Duration::from_secs(6));
     rig.establish();
     if extension == "out" {
-        rig.wait_for_log("its checksum does not fit");
+        rig.wait_for_log("checksum of the file does not match");
     }
 }
 
