--- a/crates/simulator/src/server_model.rs
+++ b/crates/simulator/src/server_model.rs
@@ -4,7 +4,7 @@
 //! adds to a backlog. Setups are single jobs with slots and a bounded queue. The model is specific to this project.
 
 use crate::event_queue::{as_seconds, Incarnation, SimTime};
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{MachineKind, Scenario};
 use lupincrank_placement::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -72,7 +72,7 @@
     groups: BTreeMap<u32, u32>,
     advanced_at: SimTime,
     speed: f64,
-    machine_kind: Kind,
+    machine_kind: MachineKind,
     group_load: f64,
     message_s: f64,
     connections_per_core: f64,
@@ -208,7 +208,7 @@
     }
 
     /// Returns the machine kind.
-    pub fn machine_kind(&self) -> &Kind {
+    pub fn machine_kind(&self) -> &MachineKind {
         &self.machine_kind
     }
 
