--- a/crates/fault-injection/src/checker/absence.rs
+++ b/crates/fault-injection/src/checker/absence.rs
@@ -1,26 +1,27 @@
-//! Spans in which nodes were dead or frozen.
+//! Intervals in which nodes' processes were stopped or frozen.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// An absence explains what happened so long before and after it: the kernel's and this process's views of it differ.
+/// An absence excuses violations up to this long before and after it, because the kernel and this process observe its
+/// start and end at different times.
 const ABSENCE_SLACK: Duration = Duration::from_millis(400);
 
-/// One span; it goes on if it has no end.
+/// One absence; it is ongoing if it has no end.
 #[derive(Clone, Copy)]
 struct Absence {
     began_at: Instant,
     ended_at: Option<Instant>,
 }
 
-/// The absences of each node, by its number and by time.
+/// The absences of each node by node number, ordered by time.
 #[derive(Default)]
 pub(super) struct AbsenceLog {
     by_node: BTreeMap<usize, Vec<Absence>>,
 }
 
 impl AbsenceLog {
-    /// A node is absent from now on, if it was not already.
+    /// Records that a node is absent from this instant on, unless it is already absent.
     pub(super) fn begin(&mut self, node: usize, at: Instant) {
         let absences = self.by_node.entry(node).or_default();
         let is_absent = absences
@@ -34,7 +35,7 @@
         }
     }
 
-    /// A node is back, if it was absent.
+    /// Records that a node's absence has ended, if the node was absent.
     pub(super) fn end(&mut self, node: usize, at: Instant) {
         let absences = self.by_node.entry(node).or_default();
         if let Some(absence) = absences.last_mut() {
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Whether the node was absent at some time between these moments.
+    /// Returns true if the node was absent at some time between these instants, within [`ABSENCE_SLACK`].
     pub(super) fn overlaps(&self, node: usize, from: Instant, to: Instant) -> bool {
         let absences = self.by_node.get(&node).into_iter().flatten();
         absences.into_iter().any(|absence| {
-            let is_over = absence
+            let ended_before = absence
                 .ended_at
                 .is_some_and(|ended_at| ended_at + ABSENCE_SLACK < from);
-            absence.began_at <= to + ABSENCE_SLACK && !is_over
+            absence.began_at <= to + ABSENCE_SLACK && !ended_before
         })
     }
 }
--- a/crates/fault-injection/src/checker/budget.rs
+++ b/crates/fault-injection/src/checker/budget.rs
@@ -1,46 +1,46 @@
-//! The usage of a fleet-wide budget, as it was observed.
+//! The observed usage of a fleet-wide budget.
 
 use crate::scenario::TimeSpan;
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// The budget limits the uses in any span of this length.
+/// The budget limits the number of uses in any interval of this length.
 const BUDGET_PERIOD: Duration = Duration::from_secs(1);
-/// How long a lease counts a use against its limit.
+/// Period for which a lease counts a use against its limit.
 const LEASE_WINDOW: Duration = Duration::from_millis(1250);
-/// Leases of a former limit are in use for at most so long after another was set: a lease, a window, what clocks differ,
-/// and the way there.
+/// Leases of a previous limit are in use for at most this long after the limit was changed: the duration of a lease, a
+/// lease window, the clock difference and the transmission time.
 const LEASE_EXPIRY: Duration = Duration::from_secs(6);
-/// Sums are reported so many times in a second.
+/// Number of sums that are reported per second.
 const SUMS_PER_SECOND: f64 = 10.0;
 const SUM_INTERVAL_MS: u64 = 100;
 
 /// The usage of a budget.
 #[derive(Clone, Debug, Serialize)]
 pub struct BudgetReport {
-    /// Its name.
+    /// Name of the budget.
     pub name: &'static str,
-    /// Its limit in any second, over all nodes.
+    /// Maximum number of uses in any second, over all nodes.
     #[serde(rename = "whole")]
     pub limit: u32,
-    /// The most uses in a second.
+    /// Highest observed number of uses in a second.
     pub peak: u32,
-    /// The mean ratio of the limit that was used in saturated spans; none without such spans.
+    /// Mean fraction of the limit that was used in the saturated spans; `None` without such spans.
     #[serde(rename = "used")]
     pub usage_ratio: Option<f64>,
-    /// All uses.
+    /// Total number of uses.
     pub total: usize,
-    /// The uses of each second that ends at a tenth of a second.
+    /// Number of uses in the second before each tenth of a second.
     pub sums: Vec<BudgetSum>,
 }
 
-/// The uses in one second.
+/// The number of uses in one second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, u32)")]
 pub struct BudgetSum {
-    /// The end of that second, in seconds after the first client.
+    /// The end of the second, in seconds after the clients start.
     pub end_s: f64,
-    /// The uses.
+    /// Number of uses.
     pub sum: u32,
 }
 
@@ -50,13 +50,13 @@
     }
 }
 
-/// A limit that was set in the course of the run.
+/// A limit that was set during the run.
 struct LimitChange {
     at: Instant,
     limit: u32,
 }
 
-/// More uses in a second than the limit.
+/// A second with more uses than the limit.
 #[derive(Clone, Copy)]
 pub(super) struct Overrun {
     pub(super) at: Instant,
@@ -77,17 +77,18 @@
         self.uses.push(at);
     }
 
-    /// Records another limit.
+    /// Records a change of the limit.
     pub(super) fn record_limit(&mut self, at: Instant, limit: u32) {
         self.limit_changes.push(LimitChange { at, limit });
     }
 
-    /// Brings the uses into the order of time, in which the methods below need them.
+    /// Sorts the uses by time, as the methods below require.
     pub(super) fn sort(&mut self) {
         self.uses.sort();
     }
 
-    /// The greatest limit that leases of this moment may come from; `initial_limit` is that of the run's beginning.
+    /// Returns the highest limit that leases in use at this time may be based on; `initial_limit` is the limit at the
+    /// start of the run.
     fn limit_at(&self, at: Instant, initial_limit: u32) -> u32 {
         let is_replaced = |change: Option<&LimitChange>| {
             change.is_some_and(|change| at >= change.at + LEASE_EXPIRY)
@@ -95,8 +96,8 @@
         let is_initial_valid = !is_replaced(self.limit_changes.first());
         let initial = is_initial_valid.then_some(initial_limit);
         let changes = self.limit_changes.iter().enumerate();
-        let valid_changes = changes.filter(|(number, change)| {
-            change.at <= at && !is_replaced(self.limit_changes.get(number + 1))
+        let valid_changes = changes.filter(|(index, change)| {
+            change.at <= at && !is_replaced(self.limit_changes.get(index + 1))
         });
         valid_changes
             .map(|(_, change)| change.limit)
@@ -105,7 +106,7 @@
             .unwrap_or(initial_limit)
     }
 
-    /// The uses within the second before each use, and it.
+    /// Returns for each use the number of uses in the second up to and including it.
     fn sums_at_uses(&self) -> impl Iterator<Item = (Instant, u32)> + '_ {
         let mut first = 0;
         self.uses.iter().enumerate().map(move |(last, at)| {
@@ -116,7 +117,7 @@
         })
     }
 
-    /// The first of the greatest sums above the limit.
+    /// Returns the first of the highest sums above the limit.
     pub(super) fn worst_overrun(&self, initial_limit: u32) -> Option<Overrun> {
         let mut worst: Option<Overrun> = None;
         for (at, sum) in self.sums_at_uses() {
@@ -128,7 +129,7 @@
         worst
     }
 
-    /// Reports the usage; `start` is the moment of the first client.
+    /// Reports the usage; `start` is when the clients started.
     pub(super) fn report(
         &self,
         name: &'static str,
@@ -151,12 +152,12 @@
         let end_s = self.uses.last().map_or(0.0, |last| seconds_of(last) + 1.0);
         let sum_count = (end_s * SUMS_PER_SECOND) as u64;
         (0..sum_count)
-            .map(|number| {
-                let to = start + Duration::from_millis(number * SUM_INTERVAL_MS);
+            .map(|index| {
+                let to = start + Duration::from_millis(index * SUM_INTERVAL_MS);
                 let from = to.checked_sub(BUDGET_PERIOD).unwrap_or(start);
                 let uses = self.uses.iter().filter(|at| **at > from && **at <= to);
                 BudgetSum {
-                    end_s: number as f64 / SUMS_PER_SECOND,
+                    end_s: index as f64 / SUMS_PER_SECOND,
                     sum: uses.count() as u32,
                 }
             })
@@ -174,7 +175,7 @@
             use_count += self.uses.iter().filter(is_within).count();
             seconds += span.to_s - span.from_s;
         }
-        // A use takes its unit of the limit for as long as leases count it.
+        // A use occupies one unit of the limit for as long as leases count it.
         let used_unit_seconds = use_count as f64 * LEASE_WINDOW.as_secs_f64();
         (seconds > 0.0).then(|| used_unit_seconds / (seconds * f64::from(limit)))
     }
--- a/crates/fault-injection/src/checker/mod.rs
+++ b/crates/fault-injection/src/checker/mod.rs
@@ -1,6 +1,6 @@
 //! Checks a run by what clients, upstream servers and proxies observe, on this process's clock.
 //!
-//! The checker knows the rules and nothing of the program under test.
+//! The checker depends only on the rules, not on internals of the program under test.
 
 mod absence;
 mod budget;
@@ -20,14 +20,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Violations of one rule that are recorded: one rule that breaks by the hundred must not hide another.
+/// Maximum number of recorded violations per rule, so that hundreds of violations of one rule don't hide another's.
 const MAX_VIOLATIONS_PER_RULE: usize = 20;
-/// A draining server may get new connections for this long after the node was told: the settings' grace, 50 ms that the
-/// protocol adds, and as much for the way.
+/// A node may open new connections to a draining server for this long after discovery announced the drain to it: the
+/// grace of the settings, 50 ms that the protocol adds, and 50 ms for the transmission.
 const DRAIN_GRACE: Duration = Duration::from_millis(500 + 100);
-/// A faulty link explains violations on it until this much later.
+/// A link fault excuses violations on that link until this long after the fault.
 const LINK_FAULT_GRACE: Duration = Duration::from_secs(10);
-/// Longest setup time that is told apart, in microseconds.
+/// Longest setup time that the histogram resolves, in microseconds; longer ones are recorded as this.
 const MAX_SETUP_US: u64 = 60_000_000;
 
 /// A node and an upstream server.
@@ -37,17 +37,17 @@
     server: usize,
 }
 
-/// Checks a run while it goes on.
+/// Checks a run while it is in progress.
 pub struct Checker {
     start: Instant,
     violations: Vec<Violation>,
     requests: BTreeMap<u64, RequestRecord>,
     /// The server of each attempt in flight, by the request's id.
     attempts_in_flight: BTreeMap<u64, usize>,
-    /// Since when each node knows that a server takes no new connections.
+    /// When discovery first announced to each node that a server accepts no new connections.
     draining_since: BTreeMap<NodeServerPair, Instant>,
     absences: AbsenceLog,
-    /// When the link of a node and a server was last faulty.
+    /// When the link between a node and a server was last faulty.
     link_faults: BTreeMap<NodeServerPair, Instant>,
     warm_up_budget: BudgetMonitor,
     setup_times: Histogram<u64>,
@@ -55,14 +55,14 @@
 }
 
 impl Checker {
-    /// A checker whose clock starts now.
+    /// Creates a checker whose clock starts at this instant.
     ///
     /// # Panics
     ///
-    /// Never: the histogram's bounds are constants that it accepts.
+    /// Never: the bounds are constants that the histogram accepts.
     pub fn new(start: Instant) -> Checker {
         let setup_times =
-            Histogram::new_with_bounds(1, MAX_SETUP_US, 3).expect("bounds of a histogram");
+            Histogram::new_with_bounds(1, MAX_SETUP_US, 3).expect("valid histogram bounds");
         Checker {
             start,
             violations: Vec::new(),
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Starts the clock again: the first client comes now.
+    /// Restarts the clock when the clients start.
     pub fn start_clock(&mut self, now: Instant) {
         self.start = now;
     }
 
-    /// Seconds since the first client; 0 before it.
+    /// Returns the seconds since the clients started; 0 before that.
     pub fn seconds_since_start(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.start).as_secs_f64()
     }
 
-    /// Records a violation, unless the rule has many already.
+    /// Records a violation, unless the maximum number for its rule is already recorded.
     pub fn record_violation(&mut self, rule: Rule, at: Instant, description: String) {
         let recorded = self.violations.iter();
         let recorded_count = recorded.filter(|violation| violation.rule == rule).count();
@@ -104,22 +104,22 @@
         *self.counts.entry(event).or_default() += 1;
     }
 
-    /// A node's process was killed, frozen, or has ended.
+    /// Records that a node's process was killed or frozen, or has exited.
     pub fn on_node_absent(&mut self, node: usize, at: Instant) {
         self.absences.begin(node, at);
     }
 
-    /// A node's process runs again.
+    /// Records that a node's process is running again.
     pub fn on_node_present(&mut self, node: usize, at: Instant) {
         self.absences.end(node, at);
     }
 
-    /// The link between a node and a server is, or was until now, faulty.
+    /// Records that the link between a node and a server is faulty, or was until this instant.
     pub fn on_link_fault(&mut self, node: usize, server: usize, at: Instant) {
         self.link_faults.insert(NodeServerPair { node, server }, at);
     }
 
-    /// A node has sent an attempt's whole first line, on a connection that was dialed then.
+    /// Records that a node has sent an attempt's complete first line, on a connection that was dialed at `dialed_at`.
     pub fn on_attempt(&mut self, request: u64, node: usize, server: usize, dialed_at: Instant) {
         self.count("attempts");
         if let Some(other) = self.attempts_in_flight.insert(request, server) {
@@ -134,15 +134,15 @@
         self.check_drain(request, NodeServerPair { node, server }, dialed_at);
     }
 
-    /// Checks that an attempt does not go to a server that the node has known to drain for long.
+    /// Checks that an attempt is not sent to a draining server after the drain grace.
     fn check_drain(&mut self, request: u64, pair: NodeServerPair, dialed_at: Instant) {
-        let Some(known_at) = self.draining_since.get(&pair).copied() else {
+        let Some(announced_at) = self.draining_since.get(&pair).copied() else {
             return;
         };
-        let known_for = dialed_at.saturating_duration_since(known_at);
+        let announced_for = dialed_at.saturating_duration_since(announced_at);
         let NodeServerPair { node, server } = pair;
-        if known_for > DRAIN_GRACE && !self.absences.overlaps(node, known_at, dialed_at) {
-            let late_ms = known_for.as_millis();
+        if announced_for > DRAIN_GRACE && !self.absences.overlaps(node, announced_at, dialed_at) {
+            let late_ms = announced_for.as_millis();
             let description = format!(
                 "n{node} sent {request:016x} to t{server}, {late_ms} ms after it was told of its end"
             );
@@ -150,12 +150,12 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn on_attempt_ended(&mut self, request: u64) {
         self.attempts_in_flight.remove(&request);
     }
 
-    /// Takes an observation of a test server or client.
+    /// Processes an observation of a test server or client.
     pub fn observe(&mut self, at: Instant, observation: Observation) {
         match observation {
             Observation::RequestSent {
@@ -259,7 +259,8 @@
         }
     }
 
-    /// Checks that something explains the end of a connection: its server, its link, or its node's absence.
+    /// Checks that the unexpected end of a connection has a known cause: its server closed it, its link was faulty, or
+    /// its node was absent.
     fn check_unexpected_end(&mut self, at: Instant, request: u64) {
         let Some(record) = self.requests.get(&request) else {
             return;
@@ -283,7 +284,7 @@
         self.record_violation(Rule::UnexpectedClose, at, description);
     }
 
-    /// Ends the run: checks the requests that have no answer.
+    /// Checks the requests without an answer at the end of the run, and returns the totals.
     pub fn finish(&mut self, now: Instant) -> RequestTotals {
         let requests = std::mem::take(&mut self.requests);
         let mut totals = RequestTotals {
@@ -306,9 +307,10 @@
         totals
     }
 
-    /// Reports the usage of the budget of connections to servers that are warming up, and checks its limit.
+    /// Reports the usage of the warm-up budget, which limits connections to servers that are warming up, and checks its
+    /// limit.
     ///
-    /// In `saturated_spans` clients wanted more than the limit.
+    /// In `saturated_spans` the demand of clients exceeded the limit.
     pub fn warm_up_budget(&mut self, limit: u32, saturated_spans: &[TimeSpan]) -> BudgetReport {
         self.warm_up_budget.sort();
         if let Some(overrun) = self.warm_up_budget.worst_overrun(limit) {
@@ -322,22 +324,22 @@
             .report("cold", self.start, limit, saturated_spans)
     }
 
-    /// An operator sets another limit of that budget.
+    /// Records that an operator changes the limit of the warm-up budget.
     pub fn on_budget_limit_changed(&mut self, at: Instant, limit: u32) {
         self.warm_up_budget.record_limit(at, limit);
     }
 
-    /// All violations so far.
+    /// Returns all violations so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Counts of events by their names.
+    /// Returns the counts of events by name.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
 
-    /// Setup times as clients saw them.
+    /// Returns the setup times that clients observed.
     pub fn setup_times(&self) -> SetupTimes {
         let quantile_ms = |quantile| self.setup_times.value_at_quantile(quantile) as f64 / 1000.0;
         SetupTimes {
--- a/crates/fault-injection/src/checker/request.rs
+++ b/crates/fault-injection/src/checker/request.rs
@@ -1,13 +1,13 @@
-//! What is known of requests, and the figures of all of them.
+//! Records of single requests, and figures over all requests.
 
 use lupincrank_test_servers::observation::Answer;
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// A request may still be answered so long after its timeout.
+/// A request may still be answered this long after its timeout.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(600);
 
-/// What is known of a request.
+/// The checker's record of a request.
 pub(super) struct RequestRecord {
     pub(super) node: usize,
     pub(super) sent_at: Instant,
@@ -15,11 +15,11 @@
     pub(super) answer: Option<ReceivedAnswer>,
     pub(super) has_timed_out: bool,
     pub(super) was_closed_by_server: bool,
-    /// The server of its last attempt.
+    /// The server of the last attempt.
     pub(super) server: Option<usize>,
 }
 
-/// An answer with its moment.
+/// An answer and when the client received it.
 #[derive(Clone, Copy)]
 pub(super) struct ReceivedAnswer {
     pub(super) at: Instant,
@@ -27,7 +27,7 @@
 }
 
 impl RequestRecord {
-    /// A request that was sent just now.
+    /// Creates the record of a request that was sent at this instant.
     pub(super) fn new(node: usize, sent_at: Instant, timeout: Duration) -> RequestRecord {
         RequestRecord {
             node,
@@ -44,7 +44,7 @@
         self.sent_at + self.timeout + LATE_ANSWER_GRACE
     }
 
-    /// Since when it has no answer, if it should have one.
+    /// Returns when the connection ended without an answer or the answer became overdue, if either has happened.
     pub(super) fn unanswered_at(&self, now: Instant) -> Option<Instant> {
         match self.answer {
             Some(received) if received.answer == Answer::Closed => Some(received.at),
@@ -54,14 +54,14 @@
     }
 }
 
-/// Requests of a run.
+/// Totals of a run's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// All requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Those without an answer though their node was running.
+    /// Requests without an answer although their node was running.
     pub unanswered: u64,
-    /// Those that were lost with a node that was killed or frozen.
+    /// Requests without an answer whose node was killed or frozen.
     pub lost: u64,
 }
 
--- a/crates/fault-injection/src/cli.rs
+++ b/crates/fault-injection/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The parser of the command line.
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
 use lupincrank_fault_injection::rule_breaker::RuleBreakerKind;
@@ -26,10 +26,10 @@
     pub(crate) path: String,
 }
 
-/// An argument that is no program of a node.
+/// The error of an invalid `--node` argument.
 #[derive(Debug, Error)]
 pub(crate) enum NodeProgramError {
-    #[error("NUMBER=PATH is wanted")]
+    #[error("expected NUMBER=PATH")]
     Form,
     #[error(transparent)]
     Number(#[from] ParseIntError),
@@ -52,14 +52,14 @@
 pub(crate) enum Command {
     /// Run a scenario.
     Run(RunArguments),
-    /// Search for harmful time lines.
+    /// Search for harmful timelines.
     Search {
         run_count: usize,
         arguments: RunArguments,
     },
     /// List scenarios.
     List { folder: String },
-    /// Check a scenario, and print its plan if that is wanted.
+    /// Check a scenario, and optionally print its plan.
     Check {
         prints_plan: bool,
         seed: u64,
@@ -77,35 +77,37 @@
 
 fn seed() -> impl Parser<u64> {
     long("seed")
-        .help("What the plan is drawn from")
+        .help("Seed of the plan")
         .argument::<u64>("N")
         .fallback(1)
 }
 
 fn scenario_file() -> impl Parser<String> {
-    positional::<String>("FILE").help("A scenario")
+    positional::<String>("FILE").help("Scenario file")
 }
 
 fn run_arguments() -> impl Parser<RunArguments> {
     let seed = seed();
     let json = long("json")
-        .help("Where the outcome goes")
+        .help("Write the outcome as JSON to this file")
         .argument::<PathBuf>("OUT")
         .optional();
     let log_folder = long("logs")
-        .help("A folder for the logs of all parties")
+        .help("Folder for the logs of all nodes")
         .argument::<PathBuf>("DIR")
         .optional();
     let program = long("program")
-        .help("The program; lupincrank beside this one if it is not said")
+        .help("Node program; by default lupincrank in the folder of this executable")
         .argument::<String>("PATH")
         .optional();
     let node_programs = long("node")
-        .help("Another program for one node, as NUMBER=PATH: old and new builds side by side")
+        .help("Program of one node, as NUMBER=PATH, to run different builds side by side")
         .argument::<String>("N=PATH")
         .parse(|text| text.parse::<NodeProgram>())
         .many();
-    let is_verbose = long("verbose").help("Nodes log single requests").switch();
+    let is_verbose = long("verbose")
+        .help("Make nodes log single requests")
+        .switch();
     let file = scenario_file();
     construct!(RunArguments {
         seed,
@@ -121,13 +123,15 @@
 fn run_command() -> impl Parser<Command> {
     construct!(Command::Run(run_arguments()))
         .to_options()
-        .descr("Run one trial; the exit code is 1 if a rule or a bound did not hold")
+        .descr(
+            "Run a scenario; the exit code is 1 if a rule is violated or an expectation is not met",
+        )
         .command("run")
 }
 
 fn search_command() -> impl Parser<Command> {
     let run_count = long("runs")
-        .help("Trials to draw")
+        .help("Number of runs to draw")
         .argument::<usize>("N")
         .fallback(20);
     let arguments = run_arguments();
@@ -136,13 +140,15 @@
         arguments
     })
     .to_options()
-    .descr("Draw time lines of faults, keep the worst, and leave out what does not matter")
+    .descr(
+        "Run random timelines of faults, and reduce the most harmful one to the faults that matter",
+    )
     .command("hunt")
 }
 
 fn list_command() -> impl Parser<Command> {
     let folder = positional::<String>("DIR")
-        .help("Where scenarios are")
+        .help("Folder of the scenarios")
         .fallback("crates/fault-injection/scenarios".into());
     construct!(Command::List { folder })
         .to_options()
@@ -152,7 +158,7 @@
 
 fn check_command() -> impl Parser<Command> {
     let prints_plan = long("plan")
-        .help("Print the plan that the seed draws")
+        .help("Print the plan that is drawn from the seed")
         .switch();
     let seed = seed();
     let file = scenario_file();
@@ -162,19 +168,19 @@
         file
     })
     .to_options()
-    .descr("Read a scenario and say what is wrong with it")
+    .descr("Validate a scenario file")
     .command("check")
 }
 
 fn report_command() -> impl Parser<Command> {
     let svg = long("svg")
-        .help("Draw the time line here")
+        .help("Draw the timeline to this SVG file")
         .argument::<PathBuf>("FILE")
         .optional();
-    let file = positional::<String>("OUT").help("An outcome, as --json wrote it");
+    let file = positional::<String>("OUT").help("Outcome file that --json wrote");
     construct!(Command::Report { svg, file })
         .to_options()
-        .descr("Tell what came of a trial")
+        .descr("Print a report of an outcome")
         .command("report")
 }
 
@@ -184,11 +190,11 @@
     let verb = positional::<String>("serve");
     construct!(Command::RuleBreaker { config, kind, verb })
         .to_options()
-        .descr("A scripted node that breaks a rule, to see that the checker names it")
+        .descr("Serve as a scripted node that breaks a rule, to verify that the checker detects it")
         .command("wrongdoer")
 }
 
-/// The parser of the whole command line.
+/// Returns the parser of the whole command line.
 pub(crate) fn parser() -> OptionParser<Command> {
     let run = run_command();
     let search = search_command();
--- a/crates/fault-injection/src/cluster_setup.rs
+++ b/crates/fault-injection/src/cluster_setup.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Adds a node with all of its links; it is not started. Without a name it is called by its number.
+/// Adds a node with all of its links, without starting it. If `name` is `None`, the node is named after its number.
 pub(crate) fn add_node(
     context: &mut HarnessContext,
     program: Vec<String>,
@@ -38,14 +38,14 @@
     Ok(node)
 }
 
-/// Opens a node's way to discovery.
+/// Opens a node's link to discovery.
 fn open_discovery(context: &mut HarnessContext, node: usize) -> io::Result<SocketAddr> {
     let address = discovery::listen(context, node)?;
     let direction = LinkDirection::new(Party::Node(node), Party::Discovery);
     stream_proxy::open(context, direction, address)
 }
 
-/// Opens a node's ways to all upstream servers.
+/// Opens a node's links to all upstream servers.
 fn open_server_links(context: &mut HarnessContext, node: usize) -> io::Result<()> {
     for server in 0..context.servers.len() {
         if let Some(address) = open_server_link(context, node, server)? {
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Opens a node's way to one upstream server, if that exists.
+/// Opens a node's link to one upstream server, if the server exists.
 fn open_server_link(
     context: &mut HarnessContext,
     node: usize,
@@ -68,7 +68,7 @@
     stream_proxy::open(context, direction, target).map(Some)
 }
 
-/// Opens the ways between a node and all nodes before it.
+/// Opens the links between a node and all nodes that were added before it.
 fn open_peer_links(context: &mut HarnessContext, node: usize) -> io::Result<()> {
     for peer in 0..node {
         open_peer_link(context, node, peer)?;
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Opens one node's way to another, for streams and datagrams.
+/// Opens the link from one node to another, for streams and datagrams.
 fn open_peer_link(context: &mut HarnessContext, from: usize, to: usize) -> io::Result<()> {
     let target = context.nodes[to].cluster_address();
     let direction = LinkDirection::new(Party::Node(from), Party::Node(to));
@@ -88,7 +88,8 @@
     Ok(())
 }
 
-/// Writes a node's files, by the links that there are now. The operator's file names the first `expected_count` nodes.
+/// Writes a node's files with the addresses of all open links. The operator's file names the first `expected_count`
+/// nodes.
 pub(crate) fn write_config(
     context: &mut HarnessContext,
     node: usize,
@@ -105,8 +106,8 @@
     Ok(())
 }
 
-/// Starts one more node, which no configuration names, or one with another's name. The others reach it only by connections
-/// that it opens.
+/// Starts one more node, which the other nodes' configurations don't contain, or which has the name of another node.
+/// The other nodes reach it only through connections that it opens.
 pub(crate) fn join_node(
     context: &mut HarnessContext,
     name: Option<String>,
@@ -125,13 +126,13 @@
     Ok(())
 }
 
-/// Starts one more upstream server, which is warm.
+/// Starts one more upstream server, which is warm from the start.
 pub(crate) fn add_warm_server(context: &mut HarnessContext) -> Result<(), RunError> {
     add_server(context, None)?;
     Ok(())
 }
 
-/// Starts one more upstream server, which warms up.
+/// Starts one more upstream server, which has to warm up.
 pub(crate) fn add_warming_up_server(context: &mut HarnessContext) -> Result<(), RunError> {
     let server = add_server(context, Some(Instant::now()))?;
     context.endpoint_list.record_restart(server);
@@ -145,7 +146,7 @@
         addresses.extend(open_server_link(context, node, server)?);
     }
     let zone = context.scenario.zone_of(server);
-    // Names must not reveal the order; hashes of short ones would lie close together.
+    // Names must not reveal the order of the servers, and hashes of short names would lie close together.
     let name_seed = format!("{} {server}", context.plan.seed);
     let name = format!("s-{:08x}", crc32fast::hash(name_seed.as_bytes()));
     context.endpoint_list.add(name, zone, addresses);
--- a/crates/fault-injection/src/datagram_proxy.rs
+++ b/crates/fault-injection/src/datagram_proxy.rs
@@ -70,7 +70,7 @@
 impl DatagramProxy {
     fn relay(&mut self, harness: &mut Harness, bytes: &[u8]) {
         let condition = harness.network.links.condition(self.direction);
-        let random = &mut harness.random;
+        let random = &mut harness.rng;
         if condition.is_cut || draw_chance(random, condition.loss_ratio) {
             return;
         }
--- a/crates/fault-injection/src/deadline.rs
+++ b/crates/fault-injection/src/deadline.rs
@@ -1,23 +1,23 @@
-//! What the deadlines of a run are for.
+//! The purposes of a run's deadlines.
 
 use crate::stream_relay::Side;
 
-/// What a deadline is for. Deadlines of one component that fall due at the same instant fire in this order.
+/// The purpose of a deadline. Deadlines of one component that expire at the same instant fire in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DeadlineKind {
     /// Sessions are due.
     RunSessions,
     /// Steps of faults are due.
     RunFaults,
-    /// Nodes are asked for their state.
+    /// Nodes are polled for their state.
     PollNodes,
-    /// A call to a node has taken too long.
+    /// A call to a node times out.
     CallTimeout,
-    /// A proxy's listener could not be changed, and is tried again.
+    /// A failed change of a proxy's listener is retried.
     RetryListen,
-    /// Bytes that were read from this side are due.
+    /// Delayed bytes that were read from this side are due to be forwarded.
     RelayStream(Side),
-    /// A delayed datagram is due.
+    /// A delayed datagram is due to be sent.
     SendDatagram,
     /// A deadline of a test server or client.
     TestServer(lupincrank_test_servers::DeadlineKind),
--- a/crates/fault-injection/src/error.rs
+++ b/crates/fault-injection/src/error.rs
@@ -1,28 +1,28 @@
-//! Why a run could not be carried out.
+//! Errors of a run.
 
 use std::error::Error as StdError;
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a run could not be carried out at all.
+/// The reason why a run could not be completed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// An error of the system.
+    /// An error of the operating system.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Text that is not JSON.
+    /// Invalid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It was stopped before its end.
-    #[error("it was stopped")]
+    /// The run was stopped before its end.
+    #[error("the run was stopped before its end")]
     Stopped,
     /// The nodes did not become ready.
-    #[error("not ready after {timeout:?}: {reason}")]
+    #[error("nodes not ready after {timeout:?}: {reason}")]
     NotReady {
-        /// How long it was waited.
+        /// Time that the run waited.
         timeout: Duration,
-        /// What was missing last.
+        /// The condition that was still not met.
         reason: String,
     },
     /// A node's process can't be started.
@@ -33,12 +33,12 @@
         /// The reason.
         source: io::Error,
     },
-    /// The run was given up.
+    /// The run was aborted.
     #[error("{scenario}, seed {seed}: {}\n{logs}", error_chain(reason.as_ref()))]
     Failed {
         /// The scenario's name.
         scenario: String,
-        /// Its seed.
+        /// The run's seed.
         seed: u64,
         /// The reason.
         reason: Box<RunError>,
@@ -47,7 +47,7 @@
     },
 }
 
-/// An error and its sources, separated by colons.
+/// Formats an error and its sources, separated by colons.
 pub fn error_chain(error: &dyn StdError) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/fault-injection/src/fault_injector/begin.rs
+++ b/crates/fault-injection/src/fault_injector/begin.rs
@@ -1,4 +1,4 @@
-//! The beginning of a fault: its entry in the time line, and its dispatch by kind.
+//! The start of a fault: its entry in the timeline, and its dispatch by kind.
 
 use super::selector::{nodes_of, select, servers_of};
 use super::{link_faults, process_faults, server_faults};
@@ -7,10 +7,10 @@
 use crate::scenario::{Fault, FaultKind};
 use std::fmt::Write;
 
-/// Parties that an entry of the time line names.
+/// Maximum number of parties that a timeline entry names.
 const MAX_NAMED_PARTIES: usize = 8;
 
-/// Begins a fault.
+/// Starts a fault.
 pub(super) fn begin_fault(context: &mut HarnessContext, fault: &Fault) {
     let targets = select(context, &fault.target);
     let text = describe(fault, &targets);
@@ -29,9 +29,9 @@
         FaultKind::AddServers => server_faults::add_servers(context, fault),
         FaultKind::DrainServers => server_faults::drain_servers(context, fault, &servers),
         FaultKind::StopServers => server_faults::stop_servers(context, fault, &servers),
-        FaultKind::SilenceServers => server_faults::silence_servers(context, fault, &servers),
+        FaultKind::UnresponsiveServers => server_faults::hang_servers(context, fault, &servers),
         FaultKind::StaleDiscovery | FaultKind::DiscoveryOutage | FaultKind::SlowDiscovery => {
-            server_faults::disturb_discovery(context, fault, &nodes);
+            server_faults::impair_discovery(context, fault, &nodes);
         }
         FaultKind::Cut
         | FaultKind::Loss
@@ -44,7 +44,7 @@
     }
 }
 
-/// The entry of the time line.
+/// Returns the text of the timeline entry.
 fn describe(fault: &Fault, targets: &[Party]) -> String {
     let mut text = format!("fault {}", fault.kind);
     if !fault.target.is_empty() {
--- a/crates/fault-injection/src/fault_injector/link_faults.rs
+++ b/crates/fault-injection/src/fault_injector/link_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of links: cuts, loss, delays, limits and resets.
+//! Link faults: cuts, loss, duplicates, reordering, delays, throughput limits and resets.
 
 use super::schedule_after;
 use super::selector::select;
@@ -10,10 +10,10 @@
 use lupincrank_test_servers::Command;
 use std::time::{Duration, Instant};
 
-/// Bytes of a kilobyte, the unit of throttled links.
+/// Bytes per kilobyte, the unit of a throttle's magnitude.
 const BYTES_PER_KILOBYTE: f64 = 1000.0;
 
-/// Begins a fault of links.
+/// Starts a link fault.
 pub(super) fn begin(context: &mut HarnessContext, fault: &Fault, targets: &[Party]) {
     let directions = directions(context, fault, targets);
     if fault.kind == FaultKind::Reset {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Ends a fault of links.
+/// Ends a link fault.
 pub(super) fn repair(context: &mut HarnessContext, directions: &[LinkDirection], kind: FaultKind) {
     context.record_fault(format!("{kind} ends"));
     update_links(context, directions, |condition| {
@@ -63,19 +63,19 @@
     }
 }
 
-/// The directions between the parties that a fault names: links among the targets themselves stay as they are, unless the
-/// fault names its peers.
+/// Returns the link directions that a fault affects. Links among the targets are affected only if the fault names its
+/// peers, other than as `all`.
 fn directions(
     context: &mut HarnessContext,
     fault: &Fault,
     targets: &[Party],
 ) -> Vec<LinkDirection> {
     let peers = select(context, &fault.peer);
-    let is_towards_all = fault.peer.is_empty() || fault.peer == "all";
+    let has_all_peers = fault.peer.is_empty() || fault.peer == "all";
     let mut directions = Vec::new();
     for target in targets {
         for peer in &peers {
-            if target == peer || (is_towards_all && targets.contains(peer)) {
+            if target == peer || (has_all_peers && targets.contains(peer)) {
                 continue;
             }
             let direction = LinkDirection::new(*target, *peer);
@@ -101,7 +101,7 @@
     notify_proxies(context, directions, Command::Reevaluate);
 }
 
-/// Sends a command to the streams on these links, and to their listeners where it is not a reset.
+/// Sends a command to the streams on these links, and to their listeners unless it is a reset.
 fn notify_proxies(context: &mut HarnessContext, directions: &[LinkDirection], command: Command) {
     let is_affected = |direction: LinkDirection| {
         directions.contains(&direction) || directions.contains(&direction.reversed())
@@ -121,7 +121,7 @@
     record_link_faults(context, directions);
 }
 
-/// Tells the checker of faults between nodes and upstream servers.
+/// Reports faults of links between nodes and upstream servers to the checker.
 fn record_link_faults(context: &mut HarnessContext, directions: &[LinkDirection]) {
     let now = Instant::now();
     for direction in directions {
--- a/crates/fault-injection/src/fault_injector/mod.rs
+++ b/crates/fault-injection/src/fault_injector/mod.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of the time line: each consists of one or more steps, each with its moment.
+//! Injects the faults of the timeline. Each fault consists of one or more steps, and each step has its own due time.
 
 mod begin;
 mod link_faults;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Schedules what follows a fault, at the end of its duration.
+/// Schedules the step that follows a fault after its duration.
 fn schedule_after(context: &mut HarnessContext, duration: Duration, step: FaultStep) {
     context.schedule_step(Instant::now() + duration, step);
 }
--- a/crates/fault-injection/src/fault_injector/process_faults.rs
+++ b/crates/fault-injection/src/fault_injector/process_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of node processes: kills, freezes, restarts, and processes that nobody expects.
+//! Faults of node processes: kills, freezes, restarts, and additional or foreign processes.
 
 use super::schedule_after;
 use crate::error::RunError;
@@ -9,10 +9,10 @@
 use crate::{cluster_setup, node_call};
 use std::time::{Duration, Instant};
 
-/// Restarts in a loop are at least so far apart.
+/// Minimum interval between the restarts of a loop.
 const MIN_RESTART_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Kills nodes, and restarts them where the fault ends.
+/// Kills nodes, and restarts them at the end of the fault if it has one.
 pub(super) fn kill_nodes(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     for &node in nodes {
         kill(context, node);
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lets a frozen node continue.
+/// Resumes a frozen node.
 pub(super) fn resume(context: &mut HarnessContext, node: usize) {
     if context.nodes[node].state() != ProcessState::Frozen {
         return;
@@ -41,7 +41,7 @@
     context.checker.on_node_present(node, now);
 }
 
-/// Asks nodes to end, and restarts them where the fault ends.
+/// Asks nodes to terminate, and restarts them at the end of the fault if it has one.
 pub(super) fn terminate_nodes(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     for &node in nodes {
         context.nodes[node].terminate();
@@ -61,7 +61,7 @@
     start(context, node);
 }
 
-/// Restarts nodes again and again.
+/// Starts a restart loop for each node.
 pub(super) fn begin_restart_loops(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     let interval = fault.duration().max(MIN_RESTART_INTERVAL);
     for &node in nodes {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Restarts a node, and schedules the next restart if one is left.
+/// Restarts a node, and schedules the next restart if any remain.
 pub(super) fn run_restart_loop(
     context: &mut HarnessContext,
     node: usize,
@@ -90,7 +90,7 @@
     context.schedule_step(now + interval, next);
 }
 
-/// Starts a node that no configuration names.
+/// Starts a node that the other nodes' configurations don't contain.
 pub(super) fn join(context: &mut HarnessContext) {
     if let Err(error) = cluster_setup::join_node(context, None) {
         context.fail(error);
@@ -108,7 +108,7 @@
     }
 }
 
-/// Lets processes of another cluster take the addresses of nodes.
+/// Replaces nodes by processes of another cluster at the same addresses.
 pub(super) fn replace_nodes(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     for &node in nodes {
         replace(context, node, true);
@@ -118,13 +118,13 @@
     }
 }
 
-/// Lets a node take its address back.
+/// Restarts a node as a member of its own cluster, in place of the process of another cluster.
 pub(super) fn restore(context: &mut HarnessContext, node: usize) {
     context.record_fault(format!("n{node} takes its address back"));
     replace(context, node, false);
 }
 
-/// Sets the limit of the warm-up budget, at the first running node of these.
+/// Sets the limit of the warm-up budget at the first of these nodes that is running.
 pub(super) fn set_budget(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     let limit = fault.magnitude as u32;
     context
@@ -133,7 +133,7 @@
     let mut running = nodes
         .iter()
         .filter(|node| context.nodes[**node].is_running());
-    // It passes the command on to the leader.
+    // The node forwards the command to the leader.
     if let Some(&node) = running.next() {
         node_call::set_budget(context, node, limit);
     }
@@ -145,7 +145,7 @@
 }
 
 fn start(context: &mut HarnessContext, node: usize) {
-    // A process that is still terminating is replaced.
+    // A process that is still terminating is killed first.
     kill(context, node);
     let is_verbose = context.options.is_verbose;
     let process = &mut context.application.nodes[node];
@@ -156,7 +156,7 @@
     context.checker.on_node_present(node, Instant::now());
 }
 
-/// Restarts a node as a member of another cluster, or of its own again.
+/// Restarts a node as a member of another cluster, or of its own cluster.
 fn replace(context: &mut HarnessContext, node: usize, is_foreign: bool) {
     context.nodes[node].set_foreign(is_foreign);
     let expected_count = context.scenario.node_count();
--- a/crates/fault-injection/src/fault_injector/selector.rs
+++ b/crates/fault-injection/src/fault_injector/selector.rs
@@ -4,7 +4,7 @@
 use crate::link::Party;
 use rand::Rng;
 
-/// The parties that a selector selects now.
+/// Returns the parties that a selector currently selects.
 pub(super) fn select(context: &mut HarnessContext, selector: &str) -> Vec<Party> {
     let harness = &mut context.application;
     match selector {
@@ -13,7 +13,7 @@
         "transcribers" => all_servers(harness).collect(),
         "discovery" => vec![Party::Discovery],
         "leader" => harness.leader().map(Party::Node).into_iter().collect(),
-        "follower" => draw_follower(harness).into_iter().collect(),
+        "follower" => choose_follower(harness).into_iter().collect(),
         _ => select_numbered(harness, selector),
     }
 }
@@ -33,8 +33,8 @@
         .collect()
 }
 
-/// Draws a running node that is not the leader.
-fn draw_follower(harness: &mut Harness) -> Option<Party> {
+/// Chooses a random running node that is not the leader.
+fn choose_follower(harness: &mut Harness) -> Option<Party> {
     let leader = harness.leader();
     let followers: Vec<usize> = (0..harness.nodes.len())
         .filter(|node| Some(*node) != leader && harness.nodes[*node].is_running())
@@ -42,11 +42,11 @@
     if followers.is_empty() {
         return None;
     }
-    let draw = harness.random.random_range(0..followers.len());
-    Some(Party::Node(followers[draw]))
+    let index = harness.rng.random_range(0..followers.len());
+    Some(Party::Node(followers[index]))
 }
 
-/// The number in a selector with this prefix.
+/// Returns the number that follows this prefix in a selector.
 fn parse_number(selector: &str, prefix: &str) -> Option<usize> {
     selector.strip_prefix(prefix)?.parse().ok()
 }
@@ -74,7 +74,7 @@
     parties.filter(is_in_zone).collect()
 }
 
-/// The numbers of the nodes among parties.
+/// Returns the numbers of the nodes among the parties.
 pub(super) fn nodes_of(parties: &[Party]) -> Vec<usize> {
     let number = |party: &Party| match party {
         Party::Node(node) => Some(*node),
@@ -83,7 +83,7 @@
     parties.iter().filter_map(number).collect()
 }
 
-/// The numbers of the upstream servers among parties.
+/// Returns the numbers of the upstream servers among the parties.
 pub(super) fn servers_of(parties: &[Party]) -> Vec<usize> {
     let number = |party: &Party| match party {
         Party::UpstreamServer(server) => Some(*server),
--- a/crates/fault-injection/src/fault_injector/server_faults.rs
+++ b/crates/fault-injection/src/fault_injector/server_faults.rs
@@ -12,12 +12,12 @@
 use lupincrank_test_servers::Command;
 use std::time::{Duration, Instant};
 
-/// Connections that are still there so long before a draining server stops are closed one by one.
+/// Connections that are still open this long before a draining server stops are closed one by one.
 const DRAIN_CLOSE_DURATION: Duration = Duration::from_millis(600);
-/// Connections are closed at least so far apart.
+/// Minimum interval between closing two of these connections.
 const MIN_CLOSE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Starts new servers that warm up.
+/// Starts new servers, which have to warm up.
 pub(super) fn add_servers(context: &mut HarnessContext, fault: &Fault) {
     for _ in 0..fault.count {
         if let Err(error) = cluster_setup::add_warming_up_server(context) {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Lets servers drain, and stop at the end of the fault.
+/// Starts to drain servers, which stop at the end of the fault.
 pub(super) fn drain_servers(context: &mut HarnessContext, fault: &Fault, servers: &[usize]) {
     let now = Instant::now();
     for &server in servers {
@@ -62,7 +62,7 @@
     context.schedule_step(next_close, FaultStep::DrainServer { server, stops_at });
 }
 
-/// Stops servers, and restarts them where the fault ends.
+/// Stops servers, and restarts them at the end of the fault if it has one.
 pub(super) fn stop_servers(context: &mut HarnessContext, fault: &Fault, servers: &[usize]) {
     for &server in servers {
         set_mode(context, server, ServerMode::Stopped);
@@ -73,7 +73,7 @@
 }
 
 /// Makes servers unresponsive for the fault's duration.
-pub(super) fn silence_servers(context: &mut HarnessContext, fault: &Fault, servers: &[usize]) {
+pub(super) fn hang_servers(context: &mut HarnessContext, fault: &Fault, servers: &[usize]) {
     for &server in servers {
         set_mode(context, server, ServerMode::Unresponsive);
         schedule_return(context, fault, server, Listing::Unchanged);
@@ -89,7 +89,7 @@
     schedule_after(context, fault.duration(), step);
 }
 
-/// Ends a server's fault.
+/// Returns a server to service at the end of its fault.
 pub(super) fn return_to_service(
     context: &mut HarnessContext,
     server: usize,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Changes a server's mode, for its proxies and the checker too.
+/// Changes a server's mode, and notifies its proxies and the checker.
 fn set_mode(context: &mut HarnessContext, server: usize, mode: ServerMode) {
     upstream_server::set_mode(context, server, mode);
     let listeners = context.network.listeners.iter();
@@ -119,8 +119,8 @@
     }
 }
 
-/// Makes discovery stale, unavailable or slow towards nodes.
-pub(super) fn disturb_discovery(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
+/// Makes discovery stale, unavailable or slow for nodes.
+pub(super) fn impair_discovery(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     let mode = match fault.kind {
         FaultKind::StaleDiscovery => DiscoveryMode::Stale,
         FaultKind::DiscoveryOutage => DiscoveryMode::Unavailable,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Lets discovery work again towards a node.
+/// Restores normal operation of discovery for a node.
 pub(super) fn restore_discovery(context: &mut HarnessContext, node: usize) {
     context.record_fault(format!("discovery is well for n{node}"));
     let mode = DiscoveryMode::Delivering(Duration::ZERO);
--- a/crates/fault-injection/src/fault_step.rs
+++ b/crates/fault-injection/src/fault_step.rs
@@ -5,30 +5,30 @@
 use lupincrank_test_servers::upstream_server::ServerMode;
 use std::time::{Duration, Instant};
 
-/// A step with the moment at which it is due.
+/// A step and when it is due.
 #[derive(Clone, Debug)]
 pub(crate) struct ScheduledStep {
     pub(crate) due_at: Instant,
     pub(crate) step: FaultStep,
 }
 
-/// One change to the processes, servers or links.
+/// One change to processes, servers, links or discovery.
 #[derive(Clone, Debug)]
 pub(crate) enum FaultStep {
     /// A fault begins.
     Begin(Fault),
-    /// A fault of links ends.
+    /// A link fault ends.
     RepairLinks {
         directions: Vec<LinkDirection>,
         kind: FaultKind,
     },
-    /// A frozen process continues.
+    /// A frozen process is resumed.
     ResumeNode { node: usize },
     /// A node is restarted.
     RestartNode { node: usize },
-    /// A node takes its address back from a process of another cluster.
+    /// A node replaces the process of another cluster that runs at its address.
     RestoreNode { node: usize },
-    /// A node is killed and restarted, and again after the interval while some are left.
+    /// A node is killed and restarted, and again after the interval while restarts remain.
     RestartLoop {
         node: usize,
         remaining_count: usize,
@@ -40,17 +40,17 @@
         mode: ServerMode,
         listing: Listing,
     },
-    /// A draining server closes one connection, and again until it stops.
+    /// A draining server closes one connection, and repeats this until it stops.
     DrainServer { server: usize, stops_at: Instant },
     /// Discovery works again for a node.
     RestoreDiscovery { node: usize },
 }
 
-/// Whether a server that serves again is listed as just started.
+/// How the endpoint list reports a server that returns to service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Listing {
-    /// It is listed as before.
+    /// With its previous start time.
     Unchanged,
-    /// It is listed as just started.
+    /// As just started.
     Restarted,
 }
--- a/crates/fault-injection/src/harness/cluster_status.rs
+++ b/crates/fault-injection/src/harness/cluster_status.rs
@@ -1,11 +1,11 @@
-//! What the nodes say of their cluster, and whether they agree.
+//! The status that nodes report about their cluster, and checks that the nodes agree.
 
 use super::Harness;
 use crate::node_process::NodeProcess;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why the cluster is not what it must be yet.
+/// The reason why the cluster does not meet a convergence goal yet.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub(crate) enum NotConverged {
     #[error("{node} says nothing")]
@@ -23,7 +23,7 @@
         limit: f64,
     },
     #[error("{node} counts only {leased} taken of {limit}")]
-    LeasedTooLittle {
+    LeasedBelowMinimum {
         node: String,
         leased: f64,
         limit: f64,
@@ -32,20 +32,20 @@
     Leaders { leaders: Vec<String> },
 }
 
-/// What the cluster must be.
+/// The state that the cluster must reach.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConvergenceGoal {
-    /// All running nodes name one leader and count each other.
+    /// Whether all running nodes must report the same leader and count each other as members.
     pub(crate) needs_agreement: bool,
-    /// The least ratio of the budget that is leased.
+    /// Minimum fraction of the budget that must be leased.
     pub(crate) min_leased_ratio: f64,
 }
 
-/// What one node says.
+/// The status that one node reports.
 struct NodeView<'a> {
     node: &'a str,
     leader: Option<&'a str>,
-    living_count: usize,
+    member_count: usize,
     leased: f64,
     limit: f64,
 }
@@ -61,19 +61,19 @@
         Ok(NodeView {
             node: node.name(),
             leader: control["leader"].as_str(),
-            living_count: status["alive"].as_u64().unwrap_or(0) as usize,
+            member_count: status["alive"].as_u64().unwrap_or(0) as usize,
             leased: control["sum"].as_f64().unwrap_or(0.0),
             limit: control["whole"].as_f64().unwrap_or(0.0),
         })
     }
 
     fn check_membership(&self, running: usize) -> Result<(), NotConverged> {
-        if self.living_count == running {
+        if self.member_count == running {
             return Ok(());
         }
         Err(NotConverged::Membership {
             node: self.node.to_string(),
-            counted: self.living_count,
+            counted: self.member_count,
             running,
         })
     }
@@ -90,7 +90,7 @@
             });
         }
         if leased < limit * min_leased_ratio {
-            return Err(NotConverged::LeasedTooLittle {
+            return Err(NotConverged::LeasedBelowMinimum {
                 node,
                 leased,
                 limit,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Checks that all name the same leader.
+/// Checks that all nodes report the same leader.
 fn check_leaders(views: &[NodeView]) -> Result<(), NotConverged> {
     let mut leaders: Vec<&str> = views
         .iter()
@@ -117,35 +117,35 @@
 }
 
 impl Harness {
-    /// The number of the leader that most running nodes name.
+    /// Returns the number of the leader that most running nodes report.
     pub(crate) fn leader(&self) -> Option<usize> {
-        let mut votes: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut report_counts: BTreeMap<&str, usize> = BTreeMap::new();
         for node in self.nodes.iter().filter(|node| node.is_running()) {
             let status = node.status();
             if let Some(leader) = status.and_then(|status| status["council"]["leader"].as_str()) {
-                *votes.entry(leader).or_default() += 1;
+                *report_counts.entry(leader).or_default() += 1;
             }
         }
-        let (leader, _) = votes.into_iter().max_by_key(|(_, votes)| *votes)?;
+        let (leader, _) = report_counts.into_iter().max_by_key(|(_, count)| *count)?;
         self.nodes
             .iter()
             .rposition(|node| node.name() == leader && node.is_running())
     }
 
-    /// Running nodes of the cluster; of two with one name the one that was added later.
+    /// Returns the running nodes of the cluster; of two with the same name, only the one that was added later.
     fn cluster_members(&self) -> Vec<&NodeProcess> {
-        let is_superseded = |number: usize, node: &NodeProcess| {
-            let mut later = self.nodes.iter().skip(number + 1);
+        let is_superseded = |index: usize, node: &NodeProcess| {
+            let mut later = self.nodes.iter().skip(index + 1);
             later.any(|other| other.name() == node.name() && other.is_running())
         };
         let nodes = self.nodes.iter().enumerate();
-        let members = nodes.filter(|(number, node)| {
-            node.is_running() && !node.is_foreign() && !is_superseded(*number, node)
+        let members = nodes.filter(|(index, node)| {
+            node.is_running() && !node.is_foreign() && !is_superseded(*index, node)
         });
         members.map(|(_, node)| node).collect()
     }
 
-    /// Checks the cluster against a goal. A scenario without a cluster meets each.
+    /// Checks the cluster against a goal. A scenario without a cluster meets every goal.
     pub(crate) fn check_convergence(&self, goal: ConvergenceGoal) -> Result<(), NotConverged> {
         if !self.scenario.is_clustered {
             return Ok(());
--- a/crates/fault-injection/src/harness/environment.rs
+++ b/crates/fault-injection/src/harness/environment.rs
@@ -1,4 +1,5 @@
-//! The harness as the environment of test servers: it takes their observations, and plans their clients' next steps.
+//! The harness as the environment of test servers: it receives their observations, and schedules the next steps of
+//! client sessions.
 
 use super::{Harness, Phase};
 use crate::link::{LinkCondition, LinkDirection, Party};
@@ -10,18 +11,18 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A session is served in time if its connection is established so long after it was meant to begin.
+/// A session is served in time if its connection is established within this time after its intended start.
 const MAX_SETUP_LATENCY: Duration = Duration::from_secs(3);
-/// A connection that would last less than this is not wanted again.
+/// A session does not reconnect if less than this remains of its connection's duration.
 const MIN_RECONNECT_DURATION: Duration = Duration::from_millis(200);
 
 impl Harness {
-    /// The second of the run in which this moment is.
+    /// Returns the second of the run that contains this instant.
     fn second_of(&self, at: Instant) -> u64 {
         self.checker.seconds_since_start(at) as u64
     }
 
-    /// Counts a session as due at this moment.
+    /// Counts a session as due at this instant.
     pub(crate) fn count_due(&mut self, at: Instant) {
         let second = self.second_of(at);
         self.sessions.count_due(second);
@@ -43,7 +44,7 @@
         self.sessions.schedule(at, session);
     }
 
-    /// Whether discovery's words arrive at the node as they were sent.
+    /// Returns true if the link from discovery to the node has a fault.
     fn is_discovery_link_faulty(&self, node: usize) -> bool {
         let direction = LinkDirection::new(Party::Discovery, Party::Node(node));
         self.network.links.condition(direction) != LinkCondition::default()
@@ -66,7 +67,7 @@
     fn observe(&mut self, observation: Observation) {
         let now = Instant::now();
         match &observation {
-            // What was sent and is held up on its way does not count as announced.
+            // An update that a link fault may hold up does not count as announced.
             Observation::EndpointAnnounced { node, .. } if self.is_discovery_link_faulty(*node) => {
                 return;
             }
--- a/crates/fault-injection/src/harness/mod.rs
+++ b/crates/fault-injection/src/harness/mod.rs
@@ -1,4 +1,4 @@
-//! The state that all components of a run share: test servers, links, nodes, the checker, and the time line.
+//! The state that all components of a run share: test servers, links, nodes, the checker, and the timeline.
 
 mod cluster_status;
 mod environment;
@@ -25,77 +25,77 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// What components of the run may use.
+/// The reactor's context, which the components of a run receive.
 pub(crate) type HarnessContext = Context<Harness>;
 
 /// The phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nodes become ready.
+    /// Nodes start up and become ready.
     Starting,
-    /// Clients come.
+    /// Client sessions start.
     Running,
-    /// What must hold at the end is awaited.
+    /// All planned sessions have started; the run waits for the expected final state.
     Settling,
-    /// The run is over.
+    /// The run has ended.
     Finished,
 }
 
-/// How far a run is.
+/// The progress of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// Its phase.
+    /// The current phase.
     pub phase: Phase,
-    /// Seconds since the first client.
+    /// Seconds since the clients started.
     pub elapsed_s: f64,
-    /// Seconds for which clients come.
+    /// Seconds for which client sessions start.
     pub duration_s: f64,
-    /// Nodes of the run.
+    /// Number of nodes of the run.
     pub node_count: usize,
-    /// Those of them that accept clients.
+    /// Number of nodes that accept clients.
     pub ready_node_count: usize,
-    /// Violations so far.
+    /// Number of violations so far.
     pub violation_count: usize,
 }
 
-/// Who an entry of the time line is about.
+/// The kind of a timeline entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
-    /// A fault that was injected, or its end.
+    /// The start or the end of an injected fault.
     Fault,
-    /// Anything else.
+    /// Any other event.
     Observation,
 }
 
-/// An entry of the time line.
+/// An entry of the timeline.
 #[derive(Clone, Debug)]
 pub(crate) struct Event {
     pub(crate) at: Instant,
-    /// The same moment, for the comparison with the nodes' logs.
+    /// The same time by the wall clock, for comparison with the nodes' logs.
     pub(crate) wall_clock: SystemTime,
     pub(crate) kind: EventKind,
     pub(crate) text: String,
 }
 
-/// The links and what passes them.
+/// The links, and the proxies and streams on them.
 #[derive(Default)]
 pub(crate) struct Network {
     pub(crate) links: LinkTable,
     /// Listeners of stream proxies.
     pub(crate) listeners: BTreeMap<LinkDirection, ComponentId>,
-    /// Streams that are relayed now.
+    /// Streams that are being relayed.
     pub(crate) streams: BTreeMap<ComponentId, LinkDirection>,
-    /// When each relayed stream was dialed, by the proxy's address towards the target.
+    /// When each relayed stream was dialed, by the proxy's local address on its connection to the target.
     pub(crate) dialed_at: HashMap<SocketAddr, Instant>,
 }
 
-/// How a run is carried out.
+/// The options of a run.
 pub(crate) struct HarnessOptions {
     pub(crate) stop: Arc<AtomicBool>,
     pub(crate) folder: PathBuf,
     pub(crate) address_block: AddressBlock,
     pub(crate) is_verbose: bool,
-    /// The program of nodes that join.
+    /// The program of nodes that join during the run.
     pub(crate) program: Vec<String>,
     pub(crate) on_progress: Box<dyn Fn(&Progress)>,
 }
@@ -112,35 +112,35 @@
     pub(crate) nodes: Vec<NodeProcess>,
     /// The configuration of each node.
     pub(crate) node_configs: BTreeMap<usize, serde_json::Value>,
-    /// The addresses at which each node reaches others, by the numbers of both.
+    /// The addresses at which each node reaches its peers, by the numbers of node and peer.
     pub(crate) peer_addresses: BTreeMap<usize, BTreeMap<usize, SocketAddr>>,
-    /// The ids of all clusters that nodes have named.
+    /// The ids of all clusters that nodes have reported.
     pub(crate) cluster_ids: BTreeSet<String>,
     pub(crate) checker: Checker,
-    pub(crate) random: Pcg64Mcg,
+    pub(crate) rng: Pcg64Mcg,
     pub(crate) phase: Phase,
     pub(crate) events: Vec<Event>,
     /// Steps of faults that are not due yet.
     pub(crate) pending_steps: Vec<ScheduledStep>,
     pub(crate) sessions: SessionSchedule,
-    /// Sessions of the plan that have come.
+    /// Number of planned sessions that have started.
     pub(crate) started_session_count: usize,
-    /// Requests that clients have sent.
+    /// Number of requests that clients have sent.
     pub(crate) request_count: u64,
     pub(crate) created_at: Instant,
-    /// When the first client comes.
+    /// When the clients start.
     pub(crate) clients_start: Instant,
     pub(crate) settling_since: Option<Instant>,
     failure: Option<RunError>,
 }
 
 impl Harness {
-    /// A harness without servers and nodes.
+    /// Creates a harness without servers and nodes.
     pub(crate) fn new(
         scenario: Scenario,
         plan: Plan,
         options: HarnessOptions,
-        random: Pcg64Mcg,
+        rng: Pcg64Mcg,
     ) -> Harness {
         let now = Instant::now();
         Harness {
@@ -156,7 +156,7 @@
             peer_addresses: BTreeMap::new(),
             cluster_ids: BTreeSet::new(),
             checker: Checker::new(now),
-            random,
+            rng,
             phase: Phase::Starting,
             events: Vec::new(),
             pending_steps: Vec::new(),
@@ -170,12 +170,12 @@
         }
     }
 
-    /// Adds a fault, or its end, to the time line.
+    /// Adds the start or the end of a fault to the timeline.
     pub(crate) fn record_fault(&mut self, text: String) {
         self.record(EventKind::Fault, text);
     }
 
-    /// Adds anything else to the time line.
+    /// Adds any other event to the timeline.
     pub(crate) fn record_event(&mut self, text: String) {
         self.record(EventKind::Observation, text);
     }
@@ -189,13 +189,13 @@
         });
     }
 
-    /// Gives the run up.
+    /// Aborts the run.
     pub(crate) fn fail(&mut self, error: RunError) {
         self.failure.get_or_insert(error);
         self.phase = Phase::Finished;
     }
 
-    /// Why the run was given up, if it was.
+    /// Takes the error that aborted the run, if there is one.
     pub(crate) fn take_failure(&mut self) -> Option<RunError> {
         self.failure.take()
     }
@@ -205,7 +205,7 @@
         self.pending_steps.push(ScheduledStep { due_at, step });
     }
 
-    /// How far the run is.
+    /// Returns the progress of the run.
     pub(crate) fn progress(&self) -> Progress {
         let ready = self.nodes.iter().filter(|node| node.is_accepting_clients());
         Progress {
@@ -227,7 +227,7 @@
     }
 }
 
-/// What upstream servers bear, beyond what the scenario says.
+/// The capacity of upstream servers: the scenario's values, and constants for what a scenario can't set.
 fn capacity_model(scenario: &Scenario) -> CapacityModel {
     const MAX_CONNECTIONS_PER_CAPACITY: f64 = 3.0;
     const MAX_SETUP_DURATION: Duration = Duration::from_secs(86_400);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fault injection: several real processes of the program with test servers around them and a proxy on every link.
+//! Fault injection: several real processes of the program, with test servers around them and a proxy on every link.
 //!
-//! A scenario's faults are injected on a time line, and a checker judges the run by what clients, upstream servers and
-//! proxies observe. `docs/design/fault-injection.md` gives the reasons for this design.
+//! A scenario's faults are injected on a timeline, and a checker evaluates the run by what clients, upstream servers
+//! and proxies observe. `docs/design/fault-injection.md` gives the reasons for this design.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,4 +1,4 @@
-//! `lupincrank-fault-injection`: runs scenarios, searches for harmful time lines, and reports outcomes.
+//! `lupincrank-fault-injection`: runs scenarios, searches for harmful timelines, and reports outcomes.
 
 #![forbid(unsafe_code)]
 
@@ -22,12 +22,12 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The program of nodes if none is named.
+/// File name of the default node program.
 const DEFAULT_PROGRAM: &str = "lupincrank";
-/// Exit code of a command that could not be carried out.
+/// Exit code of a command that failed with an error.
 const ERROR_EXIT_CODE: u8 = 2;
 
-/// Why a command could not be carried out.
+/// The error of a command.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -51,13 +51,13 @@
         path: String,
         source: serde_json::Error,
     },
-    #[error("{} is not there: build it, or name one with --program", path.display())]
+    #[error("{} does not exist: build it, or pass another node program with --program", path.display())]
     NoProgram { path: PathBuf },
-    #[error("a wrongdoer can only serve, not {verb:?}")]
+    #[error("a rule breaker has only the command \"serve\", not {verb:?}")]
     UnknownVerb { verb: String },
 }
 
-/// What a command that was carried out found.
+/// The result of a command that completed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandResult {
     Passed,
@@ -65,8 +65,8 @@
 }
 
 impl CommandResult {
-    fn new(is_passed: bool) -> CommandResult {
-        if is_passed {
+    fn new(has_passed: bool) -> CommandResult {
+        if has_passed {
             CommandResult::Passed
         } else {
             CommandResult::Failed
@@ -74,10 +74,10 @@
     }
 }
 
-/// What commands that run scenarios share.
+/// The state that commands which run scenarios share.
 struct Session {
     stop: Arc<AtomicBool>,
-    /// Drawn on a terminal only.
+    /// Drawn only if standard error is a terminal.
     progress_bar: ProgressBar,
 }
 
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Ends runs early on SIGINT and SIGTERM.
+    /// Makes SIGINT and SIGTERM end runs early.
     fn stop_on_signals(&self) -> Result<(), CommandError> {
         for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
             signal_hook::flag::register(signal, Arc::clone(&self.stop))?;
@@ -119,17 +119,17 @@
 
 fn progress_message(progress: &Progress) -> String {
     let phase = match progress.phase {
-        Phase::Starting => "nodes get ready".to_string(),
+        Phase::Starting => "waiting for nodes".to_string(),
         Phase::Running => format!("{:.0} of {} s", progress.elapsed_s, progress.duration_s),
-        Phase::Settling | Phase::Finished => "settles".to_string(),
+        Phase::Settling | Phase::Finished => "settling".to_string(),
     };
     format!(
-        "{phase}, {} of {} nodes in front, {} broken",
+        "{phase}, {} of {} nodes accept clients, {} violations",
         progress.ready_node_count, progress.node_count, progress.violation_count
     )
 }
 
-/// The program that is named, or the one beside this one.
+/// Returns the node program of the command line, or the default program in this executable's folder.
 fn node_program(arguments: &RunArguments) -> Result<String, CommandError> {
     if let Some(program) = &arguments.program {
         return Ok(program.clone());
@@ -156,7 +156,7 @@
     Ok(report::text(&serde_json::to_value(outcome)?))
 }
 
-/// The name of a scenario's file, without folder and extension.
+/// Returns the name of a scenario's file, without folder and extension.
 fn scenario_name(file: &str) -> String {
     Path::new(file).file_stem().map_or_else(
         || file.to_string(),
@@ -175,7 +175,7 @@
     session.progress_bar.finish_and_clear();
     write_json(arguments.json.as_deref(), &outcome)?;
     print!("{}", outcome_text(&outcome)?);
-    Ok(CommandResult::new(outcome.is_passed()))
+    Ok(CommandResult::new(outcome.has_passed()))
 }
 
 fn print_searched_run(number: usize, outcome: &Outcome) {
--- a/crates/fault-injection/src/node_call.rs
+++ b/crates/fault-injection/src/node_call.rs
@@ -1,6 +1,7 @@
-//! Short calls to nodes: PING where clients connect, and commands at the admin address.
+//! Short calls to nodes: PING at the client address, and commands at the admin address.
 //!
-//! Clients are sent to the nodes that answer PING, so a death or a freeze is noticed a moment late, as by a real front.
+//! Clients connect only to nodes that answer PING. The failure of a node is therefore detected with a delay, as by the
+//! health checks of a real load balancer in front of the nodes.
 
 use crate::deadline::DeadlineKind;
 use crate::harness::{Harness, HarnessContext};
@@ -12,17 +13,17 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// A call without an answer in this time has failed.
+/// A call without an answer within this time has failed.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a node is asked.
+/// The request of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Request {
-    /// Whether it accepts clients.
+    /// Asks whether the node accepts clients.
     Ping,
-    /// The state of its cluster.
+    /// Asks for the state of the node's cluster.
     Status,
-    /// To set the limit of the warm-up budget.
+    /// Changes the limit of the warm-up budget.
     SetBudget { limit: u32 },
 }
 
@@ -36,18 +37,18 @@
     }
 }
 
-/// How far a call is.
+/// The progress of a call.
 enum CallProgress {
     Pending,
     Answered(String),
     Failed,
 }
 
-/// One call.
+/// A call to a node.
 struct Call {
     id: ComponentId,
     node: usize,
-    /// The start of the process that is asked: an answer from an earlier one counts for nothing.
+    /// The node's start count at the time of the call. The answer is ignored if the node has been restarted since.
     start_count: u32,
     lines: LineStream,
     is_sent: bool,
@@ -98,7 +99,7 @@
 }
 
 impl Call {
-    /// Ends the call with an answer, or with none.
+    /// Ends the call with an answer, or with `None` if it failed.
     fn finish(&self, context: &mut HarnessContext, answer: Option<&str>) -> Lifecycle {
         let node = &mut context.application.nodes[self.node];
         if node.start_count() != self.start_count {
--- a/crates/fault-injection/src/node_config.rs
+++ b/crates/fault-injection/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The settings and the operator's file that nodes of a run get.
+//! The configuration and the operator's file of a run's nodes.
 
 use crate::harness::Harness;
 use crate::scenario::zone_name;
@@ -7,16 +7,17 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Seeds that a node is given.
+/// Maximum number of seed nodes in a node's configuration.
 const MAX_SEED_COUNT: usize = 3;
-/// Names of the clusters that nodes belong to.
+/// Names of the cluster under test and of the foreign cluster.
 const CLUSTER_NAME: &str = "trial";
 const FOREIGN_CLUSTER_NAME: &str = "another";
-/// Spreads the run's seed over its nodes.
+/// Keeps the random seeds of nodes in different runs apart: a node's seed is the multiplied seed of the run plus the
+/// node's number.
 const NODE_SEED_MULTIPLIER: u64 = 1_000_003;
 const NS_PER_MS: u64 = 1_000_000;
 
-/// The settings that all nodes get.
+/// Returns the settings, which are the same for all nodes.
 fn settings(harness: &Harness) -> Value {
     let scenario = &harness.scenario;
     let ns = |ms: u64| ms * NS_PER_MS;
@@ -48,7 +49,7 @@
     })
 }
 
-/// The configuration of one node; `known` is the endpoint list that it begins with.
+/// Returns the configuration of one node; `known` is its initial endpoint list.
 pub(crate) fn node_config(
     harness: &Harness,
     node: usize,
@@ -69,8 +70,8 @@
     })
 }
 
-/// The operator's file of one node, which names the first `expected_count` nodes. The node reaches the others by the
-/// addresses that it was given for them.
+/// Returns the operator's file of one node, which names the first `expected_count` nodes. The node reaches its peers at
+/// their proxy addresses, which the file lists.
 pub(crate) fn operator_file(harness: &Harness, node: usize, expected_count: usize) -> String {
     let mut text = String::new();
     // Writing to a string can't fail.
@@ -113,7 +114,7 @@
     let addresses = harness.peer_addresses.get(&node).unwrap_or(&no_addresses);
     let expected_peers = addresses.keys().filter(|peer| **peer < expected_count);
     let mut seeds: Vec<usize> = expected_peers.copied().take(MAX_SEED_COUNT).collect();
-    // A node that is alone is its own seed: it begins with nobody to ask.
+    // A node without peers is its own seed, because there is no other node to contact.
     if seeds.is_empty() {
         seeds.push(node.min(expected_count - 1));
     }
--- a/crates/fault-injection/src/node_process.rs
+++ b/crates/fault-injection/src/node_process.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: each has a configuration, a folder and a loopback address of its own.
+//! Node processes, each with its own configuration, folder and loopback address.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -8,16 +8,16 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// Ports of each node's own address.
+/// Ports of each node at its own address.
 const CLIENT_PORT: u16 = 8000;
 const ADMIN_PORT: u16 = 8001;
 const CLUSTER_PORT: u16 = 7400;
-/// A listener at this port of the last address of a block marks the block as used.
+/// A listener at this port and host of a block marks the block as used.
 const RESERVATION_PORT: u16 = 7399;
 const RESERVATION_HOST: u8 = 254;
-/// Blocks that are tried before none is said to be free.
+/// Number of blocks that are tried before the reservation fails.
 const MAX_BLOCK_ATTEMPTS: u32 = 2_000;
-/// Linux counts processor time in hundredths of a second.
+/// Linux counts CPU time in hundredths of a second.
 const MS_PER_CLOCK_TICK: u64 = 10;
 
 /// A block of loopback addresses, `127.high.low.*`.
@@ -30,13 +30,13 @@
 }
 
 impl AddressBlock {
-    /// An address of the block.
+    /// Returns the address of the block with this last byte.
     pub fn address(self, host: u8) -> IpAddr {
         IpAddr::V4(Ipv4Addr::new(127, self.high, self.low, host))
     }
 }
 
-/// A block that no other run on this machine uses while this lives.
+/// The reservation of a block, which no other run on this machine uses until the reservation is dropped.
 pub struct BlockReservation {
     block: AddressBlock,
     _listener: TcpListener,
@@ -70,7 +70,7 @@
         ))
     }
 
-    /// The block.
+    /// Returns the reserved block.
     pub fn block(&self) -> AddressBlock {
         self.block
     }
@@ -79,32 +79,32 @@
 /// The state of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// Not started yet, or ended.
+    /// Not started yet, or exited.
     Stopped,
     /// Running.
     Running,
     /// Stopped by SIGSTOP.
     Frozen,
-    /// Asked to end by SIGTERM.
+    /// Asked to terminate by SIGTERM.
     Terminating,
 }
 
-/// What identifies a node and its process.
+/// The identity of a node, and the program that it runs.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
     /// The program, with the arguments before `serve`.
     pub program: Vec<String>,
-    /// Its address.
+    /// IP address of the node.
     pub ip: IpAddr,
     /// The folder of its configuration, log and temporary files.
     pub folder: PathBuf,
 }
 
-/// A node with its process, which is killed when this is dropped.
+/// A node and its process, which is killed on drop.
 pub struct NodeProcess {
     identity: NodeIdentity,
     state: ProcessState,
@@ -116,7 +116,7 @@
 }
 
 impl NodeProcess {
-    /// A node whose process is not started yet.
+    /// Creates a node whose process is not started yet.
     pub fn new(identity: NodeIdentity) -> NodeProcess {
         NodeProcess {
             identity,
@@ -129,52 +129,52 @@
         }
     }
 
-    /// Its name.
+    /// Returns the node's name.
     pub fn name(&self) -> &str {
         &self.identity.name
     }
 
-    /// Its zone.
+    /// Returns the node's zone.
     pub fn zone(&self) -> &str {
         &self.identity.zone
     }
 
-    /// The state of its process.
+    /// Returns the state of the process.
     pub fn state(&self) -> ProcessState {
         self.state
     }
 
-    /// Whether its process runs.
+    /// Returns true if the process is running.
     pub fn is_running(&self) -> bool {
         self.state == ProcessState::Running
     }
 
-    /// How often it was started.
+    /// Returns how many times the process was started.
     pub fn start_count(&self) -> u32 {
         self.start_count
     }
 
-    /// Whether it answered the last PING with PONG.
+    /// Returns true if the node answered the last PING with PONG.
     pub fn is_accepting_clients(&self) -> bool {
         self.is_accepting_clients
     }
 
-    /// Records the answer to a PING.
+    /// Records whether the node answered a PING with PONG.
     pub(crate) fn set_accepting_clients(&mut self, is_accepting: bool) {
         self.is_accepting_clients = is_accepting;
     }
 
-    /// Whether it belongs to another cluster for now.
+    /// Returns true if the node currently belongs to another cluster.
     pub fn is_foreign(&self) -> bool {
         self.is_foreign
     }
 
-    /// Makes it belong to another cluster, or to its own again, from its next start on.
+    /// Sets whether the node belongs to another cluster from its next start on.
     pub(crate) fn set_foreign(&mut self, is_foreign: bool) {
         self.is_foreign = is_foreign;
     }
 
-    /// Its last answer to `fleet status`.
+    /// Returns the node's last answer to `fleet status`.
     pub fn status(&self) -> Option<&Value> {
         self.status.as_ref()
     }
@@ -184,32 +184,32 @@
         self.status = Some(status);
     }
 
-    /// A folder that outlives its processes.
+    /// Returns the folder that persists across restarts of the process.
     pub fn persistent_folder(&self) -> PathBuf {
         self.identity.folder.join("kept")
     }
 
-    /// The address for clients.
+    /// Returns the address for clients.
     pub fn client_address(&self) -> SocketAddr {
         SocketAddr::new(self.identity.ip, CLIENT_PORT)
     }
 
-    /// The address for admin commands.
+    /// Returns the address for admin commands.
     pub fn admin_address(&self) -> SocketAddr {
         SocketAddr::new(self.identity.ip, ADMIN_PORT)
     }
 
-    /// The address for other nodes.
+    /// Returns the address for other nodes.
     pub fn cluster_address(&self) -> SocketAddr {
         SocketAddr::new(self.identity.ip, CLUSTER_PORT)
     }
 
-    /// The path of its log.
+    /// Returns the path of the node's log.
     pub fn log_path(&self) -> PathBuf {
         self.identity.folder.join("log")
     }
 
-    /// Writes its configuration, and the operator's file if it has one.
+    /// Writes the node's configuration, and the operator's file if there is one.
     ///
     /// # Errors
     ///
@@ -228,7 +228,7 @@
     ///
     /// # Errors
     ///
-    /// Any error of the file system, or of the start itself.
+    /// Any error of the file system, or of starting the process.
     pub fn start(&mut self, is_verbose: bool) -> io::Result<()> {
         let temporary = self
             .identity
@@ -254,7 +254,10 @@
 
     fn command(&self, is_verbose: bool) -> io::Result<Command> {
         let Some((program, arguments)) = self.identity.program.split_first() else {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "no program"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "no node program given",
+            ));
         };
         let folder = &self.identity.folder;
         let mut command = Command::new(program);
@@ -272,19 +275,19 @@
         Ok(command)
     }
 
-    /// Freezes its process.
+    /// Stops the process with SIGSTOP.
     pub fn freeze(&mut self) {
         self.signal(Signal::STOP);
         self.state = ProcessState::Frozen;
     }
 
-    /// Lets a frozen process continue.
+    /// Resumes a frozen process with SIGCONT.
     pub fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.state = ProcessState::Running;
     }
 
-    /// Asks its process to end.
+    /// Asks the process to terminate with SIGTERM.
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
         self.state = ProcessState::Terminating;
@@ -293,12 +296,12 @@
     fn signal(&mut self, signal: Signal) {
         let child = self.child.as_ref();
         if let Some(pid) = child.and_then(|child| Pid::from_raw(child.id() as i32)) {
-            // One that has ended meanwhile is found by `poll_exit`.
+            // If the process has exited in the meantime, `poll_exit` detects it.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills its process and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -313,7 +316,7 @@
         self.status = None;
     }
 
-    /// The exit status of its process if it has ended since the last call.
+    /// Returns the exit status of the process if it has exited since the last call.
     pub fn poll_exit(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -321,10 +324,10 @@
         Some(status.to_string())
     }
 
-    /// Processor time of its process so far, user and system, in milliseconds.
+    /// Returns the CPU time of the process so far, user and system, in milliseconds.
     pub fn cpu_ms(&self) -> Option<u64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.as_ref()?.id())).ok()?;
-        // The name in brackets may hold anything; the 12th and 13th fields after it are the times.
+        // The name in parentheses may contain any character; the 12th and 13th fields after it are the CPU times.
         let fields = stat.rsplit_once(')')?.1.split_whitespace();
         let ticks: Vec<u64> = fields
             .skip(11)
@@ -334,13 +337,13 @@
         (ticks.len() == 2).then(|| ticks.iter().sum::<u64>() * MS_PER_CLOCK_TICK)
     }
 
-    /// Resident memory of its process in kB.
+    /// Returns the resident memory of the node's process in kB.
     pub fn resident_kb(&self) -> Option<u64> {
         resident_kb(self.child.as_ref()?.id())
     }
 }
 
-/// Resident memory of a process in kB.
+/// Returns the resident memory of a process in kB.
 pub fn resident_kb(process: u32) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status
--- a/crates/fault-injection/src/outcome.rs
+++ b/crates/fault-injection/src/outcome.rs
@@ -9,62 +9,62 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Name of the scenario.
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// Checksum of the plan.
+    /// Checksum of the plan, in hexadecimal.
     #[serde(rename = "plan")]
     pub plan_digest: String,
-    /// Number of node processes, with those that joined.
+    /// Number of node processes, including those that joined.
     #[serde(rename = "nodes")]
     pub node_count: usize,
     /// The faults as planned.
     pub faults: Vec<Fault>,
-    /// The time line.
+    /// The timeline.
     pub events: Vec<TimelineEntry>,
-    /// The ratio of sessions that were served in time.
+    /// Fraction of the sessions that were served in time.
     #[serde(rename = "service")]
     pub service_ratio: f64,
     /// Due and served sessions by second.
     #[serde(rename = "by_second")]
     pub service_by_second: BTreeMap<u64, ServiceCount>,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub requests: u64,
-    /// Those without an answer though their node was running.
+    /// Requests without an answer although their node was running.
     pub unanswered: u64,
-    /// Those that were lost with a node that was killed or frozen.
+    /// Requests without an answer whose node was killed or frozen.
     pub lost: u64,
-    /// Counts of other events.
+    /// Counts of other events, by name.
     pub counts: BTreeMap<&'static str, u64>,
-    /// Clusters that nodes named.
+    /// Number of different clusters that nodes reported.
     #[serde(rename = "councils")]
     pub cluster_count: usize,
-    /// Setup times as clients saw them.
+    /// Setup times that clients observed.
     #[serde(rename = "setups_ms")]
     pub setup_times: SetupTimes,
-    /// What the checker found.
+    /// The checker's verdict.
     #[serde(rename = "judge")]
     pub verdict: Verdict,
-    /// Budgets as upstream servers saw their usage.
+    /// Usage of budgets, as upstream servers observed it.
     pub budgets: Vec<BudgetReport>,
     /// The last status of each running node.
     #[serde(rename = "ends")]
     pub final_statuses: BTreeMap<String, Value>,
-    /// Processor time of each running node from its start on, in milliseconds.
+    /// CPU time of each running node since its start, in milliseconds.
     pub cpu_ms: BTreeMap<String, u64>,
 }
 
-/// An entry of the time line.
+/// An entry of the timeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, String)")]
 pub struct TimelineEntry {
-    /// When, in seconds after the first client.
+    /// Time of the event, in seconds after the clients start.
     pub at_s: f64,
-    /// What happened.
+    /// Description of the event.
     pub text: String,
 }
 
@@ -74,21 +74,21 @@
     }
 }
 
-/// What the checker found.
+/// The checker's verdict on a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The violations; none if all rules and bounds held.
+    /// The violations; empty if all rules and expectations were met.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
 }
 
 impl Outcome {
-    /// Whether all rules and bounds held.
-    pub fn is_passed(&self) -> bool {
+    /// Returns true if all rules and expectations were met.
+    pub fn has_passed(&self) -> bool {
         self.verdict.violations.is_empty()
     }
 
-    /// Sums a run up that is over, while its processes still run.
+    /// Collects the outcome of a finished run, while its processes are still running.
     pub(crate) fn collect(name: &str, harness: &mut Harness) -> Outcome {
         let now = Instant::now();
         let totals = harness.checker.finish(now);
@@ -130,7 +130,7 @@
     vec![report]
 }
 
-/// Checks what the scenario expects of the whole run.
+/// Checks the scenario's expectations for the whole run.
 fn check_expectations(
     harness: &mut Harness,
     now: Instant,
@@ -166,7 +166,7 @@
     }
 }
 
-/// The events with their moments, which are negative before the first client.
+/// Returns the events with their times, which are negative before the clients start.
 fn timeline(harness: &Harness) -> Vec<TimelineEntry> {
     let start = harness.clients_start;
     let events = harness.events.iter();
--- a/crates/fault-injection/src/plan/tests.rs
+++ b/crates/fault-injection/src/plan/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn a_seed_draws_the_same_plan_to_the_byte(seed in any::<u64>(), rate in 1.0..200.0f64) {
+    fn a_seed_always_draws_the_same_plan(seed in any::<u64>(), rate in 1.0..200.0f64) {
         let text = format!("about = \"a\"\nnodes = 3\ntranscribers = 4\nseconds = 4.0\n[clients]\nrate = {rate:.3}\n");
         let scenario = Scenario::parse(&text).unwrap();
         let (one, other) = (Plan::draw(&scenario, seed), Plan::draw(&scenario, seed));
--- a/crates/fault-injection/src/rule_breaker/client_relay.rs
+++ b/crates/fault-injection/src/rule_breaker/client_relay.rs
@@ -1,4 +1,4 @@
-//! The rule breaker's clients: each is relayed to one upstream server, or to two.
+//! The client connections of a rule breaker. Each is relayed to one upstream server, or to two.
 
 use super::{DeadlineKind, RuleBreaker, RuleBreakerKind, DROP_DELAY};
 use lupincrank_reactor::poll::{self, Registered};
@@ -9,9 +9,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Instant;
 
-/// Bytes of one read.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Numbers of a relay's sockets.
+/// Socket numbers of a relay.
 const CLIENT_SOCKET: usize = 0;
 const SERVER_SOCKET: usize = 1;
 
@@ -40,7 +40,7 @@
         _readiness: Readiness,
     ) -> Lifecycle {
         while let Ok((stream, _)) = self.listener.accept() {
-            // A client whose stream can't be used sees its end.
+            // If the stream can't be used, it is dropped, which closes the client's connection.
             let _ = ClientRelay::open(context, stream);
         }
         Lifecycle::Continue
@@ -59,7 +59,7 @@
     }
 }
 
-/// A client and the servers that its request was sent to. Only the first one's bytes go back.
+/// A client and the servers that its request was sent to. Only bytes of the first server are relayed to the client.
 struct ClientRelay {
     id: ComponentId,
     client: Registered<TcpStream>,
@@ -107,7 +107,7 @@
         self.on_first_line(context)
     }
 
-    /// Passes a client's bytes on; those before the answer are lost.
+    /// Forwards a client's bytes to the first server; bytes before the answer are dropped.
     fn forward(&mut self, bytes: &[u8]) -> Lifecycle {
         let Some(server) = self.servers.first_mut() else {
             return Lifecycle::Continue;
@@ -128,7 +128,7 @@
             RuleBreakerKind::AttemptsTwice => 2,
             _ => 1,
         };
-        // The second server reports as the client's socket: its bytes are never read.
+        // Events of the second server are reported under the client's socket number, so its bytes are never read.
         for socket in [SERVER_SOCKET, CLIENT_SOCKET]
             .into_iter()
             .take(attempt_count)
@@ -152,7 +152,7 @@
         match server.read(&mut bytes) {
             Ok(length) if length > 0 => self.on_server_bytes(context, &bytes[..length]),
             Err(error) if is_would_block(&error) => Lifecycle::Continue,
-            // What the server does is not the rule that is to be broken: the client has an answer.
+            // A failure of the server must not break another rule, so the client still receives an answer.
             _ if !self.is_answered => self.reject(),
             _ => Lifecycle::Close,
         }
@@ -189,7 +189,7 @@
         Lifecycle::Close
     }
 
-    /// Sends the first line to servers that are connected now.
+    /// Sends the first line to the servers, when a connection to them is established.
     fn send_first_line(&mut self) -> io::Result<()> {
         for server in &mut self.servers {
             server.set_interest(Interest::READ)?;
--- a/crates/fault-injection/src/rule_breaker/discovery_watch.rs
+++ b/crates/fault-injection/src/rule_breaker/discovery_watch.rs
@@ -9,7 +9,7 @@
 
 const WATCH_REQUEST: &str = "GET /v1/endpoints?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Applies each line of the response that is an endpoint list.
+/// Connection to discovery that applies each line of the response that is an endpoint list.
 pub(super) struct DiscoveryWatch {
     lines: LineStream,
     is_sent: bool,
--- a/crates/fault-injection/src/rule_breaker/mod.rs
+++ b/crates/fault-injection/src/rule_breaker/mod.rs
@@ -1,7 +1,7 @@
-//! Scripted nodes that break one rule each, to show that the checker finds it.
+//! Scripted nodes that break one rule each, to show that the checker detects the violation.
 //!
-//! They speak as much of the protocol as that needs: a client's first line goes on to an upstream server, and bytes go both
-//! ways.
+//! They implement only the necessary part of the protocol: a client's first line is forwarded to an upstream server,
+//! and bytes are relayed in both directions.
 
 mod client_relay;
 mod discovery_watch;
@@ -17,34 +17,34 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// An established connection is dropped after this.
+/// Delay after which an established connection is dropped.
 const DROP_DELAY: Duration = Duration::from_millis(1500);
-/// The process ends by itself after this.
+/// Delay after which the process exits by itself.
 const CRASH_DELAY: Duration = Duration::from_secs(3);
 const CRASH_EXIT_CODE: i32 = 3;
 
-/// The rule that it breaks, named by words of the command line.
+/// The way in which a rule breaker breaks a rule, selected on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleBreakerKind {
-    /// It answers BUSY after UP.
+    /// Answers BUSY after UP.
     AnswersTwice,
-    /// It answers nothing at all.
+    /// Never answers.
     NeverAnswers,
-    /// It sends a request to two upstream servers at once.
+    /// Sends a request to two upstream servers at once.
     AttemptsTwice,
-    /// It sends requests to a server that drains.
+    /// Sends requests to a draining server.
     IgnoresDrain,
-    /// It sends all requests to a server that is warming up.
+    /// Sends all requests to a server that is warming up.
     IgnoresWarmUp,
-    /// It drops established connections.
+    /// Drops established connections.
     DropsConnections,
-    /// It ends by itself.
+    /// Exits by itself.
     Crashes,
 }
 
-/// A word that names no rule breaker.
+/// The error of an argument that names no rule breaker.
 #[derive(Clone, Debug, Error)]
-#[error("no wrongdoer {0:?}")]
+#[error("unknown rule breaker {0:?}")]
 pub struct UnknownRuleBreaker(String);
 
 impl FromStr for RuleBreakerKind {
@@ -64,47 +64,47 @@
     }
 }
 
-/// Why a rule breaker can't serve.
+/// The reason why a rule breaker can't serve.
 #[derive(Debug, Error)]
 pub enum RuleBreakerError {
-    /// An error of the system.
+    /// An error of the operating system.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The configuration is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The configuration has no such address.
-    #[error("{key}: {value:?}")]
+    /// The configuration has no valid address under this key.
+    #[error("no valid address in the configuration: {key}: {value:?}")]
     Address {
         /// The key of the address.
         key: &'static str,
-        /// Its value.
+        /// The value of the key.
         value: String,
     },
 }
 
-/// What a deadline is for.
+/// The purpose of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DeadlineKind {
-    /// The process ends by itself.
+    /// The process exits by itself.
     Crash,
     /// A client's connection is dropped.
     DropClient,
 }
 
-/// An endpoint as last announced.
+/// An endpoint as last announced by discovery.
 #[derive(Clone, Copy, Debug)]
 struct KnownEndpoint {
     address: SocketAddr,
     is_draining: bool,
-    /// Unix time of its last start in milliseconds; 0 for long ago.
+    /// Unix time of the server's last start in milliseconds; 0 if the endpoint list reports none.
     started_ms: u64,
 }
 
 /// The state that all components share.
 struct RuleBreaker {
     kind: RuleBreakerKind,
-    /// By name.
+    /// The known endpoints by name.
     endpoints: BTreeMap<String, KnownEndpoint>,
     choice_count: usize,
 }
@@ -157,7 +157,7 @@
         self.endpoints.insert(name.into(), known);
     }
 
-    /// Chooses where the next request goes.
+    /// Chooses the endpoint for the next request.
     fn choose_endpoint(&mut self) -> Option<SocketAddr> {
         self.choice_count += 1;
         let mut endpoints = self.endpoints.values();
@@ -170,7 +170,7 @@
         endpoint.map(|endpoint| endpoint.address)
     }
 
-    /// The ready endpoints in turn.
+    /// Returns the ready endpoints in turn.
     fn next_ready_endpoint(&self) -> Option<&KnownEndpoint> {
         let endpoints = self.endpoints.values();
         let ready: Vec<&KnownEndpoint> =
@@ -179,7 +179,7 @@
     }
 }
 
-/// An address of the configuration.
+/// Reads an address from the configuration.
 fn read_address(config: &Value, key: &'static str) -> Result<SocketAddr, RuleBreakerError> {
     let value = config[key].as_str().unwrap_or_default();
     value.parse().map_err(|_| RuleBreakerError::Address {
@@ -192,7 +192,7 @@
 ///
 /// # Errors
 ///
-/// If the configuration can't be used, or a socket can't be opened.
+/// If the configuration can't be read or is invalid, or a socket can't be opened.
 pub fn serve(kind: RuleBreakerKind, config_path: &str) -> Result<(), RuleBreakerError> {
     let text = std::fs::read_to_string(config_path)?;
     let config: Value = serde_json::from_str(&text)?;
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -15,19 +15,19 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// How a run is carried out.
+/// The options of a run.
 pub struct RunOptions {
     /// The program of the nodes, with the arguments before `serve`.
     pub program: Vec<String>,
-    /// Other programs for single nodes, by number: builds to be run together, or rule breakers.
+    /// Other programs for single nodes, by node number, to mix builds or to run rule breakers.
     pub node_programs: BTreeMap<usize, Vec<String>>,
     /// The folder for the logs of all nodes.
     pub log_folder: Option<PathBuf>,
     /// Whether nodes log single requests.
     pub is_verbose: bool,
-    /// Set to end the run early.
+    /// Ends the run early once it is set.
     pub stop: Arc<AtomicBool>,
-    /// Called a few times a second.
+    /// Called with the run's progress, a few times per second.
     pub on_progress: Box<dyn Fn(&Progress)>,
 }
 
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// If the run could not be carried out at all; violations are part of the outcome.
+/// If the run could not be completed; violations are part of the outcome.
 pub fn run(
     name: &str,
     scenario: Scenario,
@@ -46,7 +46,7 @@
     let folder = temporary_folder(reservation.block());
     fs::create_dir_all(&folder)?;
     let plan = Plan::draw(&scenario, seed);
-    let random = Pcg64Mcg::new(u128::from(seed) << 8 | 3);
+    let rng = Pcg64Mcg::new(u128::from(seed) << 8 | 3);
     let harness_options = HarnessOptions {
         stop: options.stop,
         folder: folder.clone(),
@@ -55,7 +55,7 @@
         program: options.program,
         on_progress: options.on_progress,
     };
-    let harness = Harness::new(scenario, plan, harness_options, random);
+    let harness = Harness::new(scenario, plan, harness_options, rng);
     let mut reactor = Reactor::new(harness, 0)?;
     set_up(&mut reactor.context, &options.node_programs)?;
     run_loop::start(&mut reactor.context);
@@ -77,7 +77,7 @@
     result
 }
 
-/// The error of a run that was given up.
+/// Returns the error of an aborted run.
 fn failed(name: &str, seed: u64, reason: RunError, harness: &Harness) -> RunError {
     RunError::Failed {
         scenario: name.to_string(),
@@ -87,14 +87,14 @@
     }
 }
 
-/// The folder of the run's files.
+/// Returns the path of the folder for the run's files.
 fn temporary_folder(block: AddressBlock) -> PathBuf {
     let process = std::process::id();
     let name = format!("lupincrank-trial-{process}-{}-{}", block.high, block.low);
     std::env::temp_dir().join(name)
 }
 
-/// Starts upstream servers, then nodes that know each other and all servers.
+/// Starts the upstream servers, then the nodes, which are configured with each other and all servers.
 fn set_up(
     context: &mut HarnessContext,
     node_programs: &BTreeMap<usize, Vec<String>>,
--- a/crates/fault-injection/src/run_loop.rs
+++ b/crates/fault-injection/src/run_loop.rs
@@ -1,4 +1,4 @@
-//! The run as an application of the reactor: its deadlines, and how it goes from phase to phase.
+//! The run as an application of the reactor: its deadlines, and the transitions between its phases.
 
 use crate::checker::Rule;
 use crate::deadline::DeadlineKind;
@@ -11,27 +11,27 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// How often nodes are asked for their state.
+/// Interval at which nodes are polled for their state.
 const NODE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long nodes may take to be ready, and the cluster to grant its first leases.
+/// Timeout for nodes to become ready, and for the cluster to grant its first leases.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long what must hold at the end is awaited.
+/// Timeout for the cluster to reach the expected final state.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(25);
-/// After the last client requests have their timeout and this much longer to end.
+/// Requests in flight when the last client session starts have their timeout plus this much time to end.
 const REQUEST_GRACE: Duration = Duration::from_secs(1);
-/// The least ratio of a budget that is leased when clients begin to come.
+/// Minimum fraction of the budget that must be leased before clients start.
 const MIN_INITIAL_LEASED_RATIO: f64 = 0.9;
-/// The exit status of a process that ended as it was asked to.
+/// The exit status of a process that terminated as requested.
 const SUCCESS_STATUS: &str = "exit status: 0";
 
-/// Begins to poll the nodes.
+/// Starts to poll the nodes.
 pub(crate) fn start(context: &mut HarnessContext) {
     context
         .deadlines
         .set(APPLICATION, DeadlineKind::PollNodes, Instant::now());
 }
 
-/// Asks the nodes for their state, and goes on to the next phase if it is time.
+/// Polls the nodes for their state, and enters the next phase if its conditions are met.
 fn poll_nodes(context: &mut HarnessContext) {
     let now = Instant::now();
     if context.options.stop.load(Ordering::Relaxed) {
@@ -53,7 +53,7 @@
         .set(APPLICATION, DeadlineKind::PollNodes, next_poll);
 }
 
-/// Records the end of a node's process, which is a violation if nobody asked for it.
+/// Records the exit of a node's process. It is a violation unless the process was asked to terminate and succeeded.
 fn check_exit(context: &mut HarnessContext, node: usize, now: Instant) {
     let process = &mut context.application.nodes[node];
     let was_terminating = process.state() == ProcessState::Terminating;
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether the cluster has what clients wait for.
+/// Checks that the cluster has converged as far as the scenario requires before clients start.
 fn check_initial_convergence(harness: &Harness) -> Result<(), NotConverged> {
     if !harness.scenario.is_clustered || !harness.scenario.waits_for_leases {
         return Ok(());
@@ -123,8 +123,8 @@
 fn finish_if_settled(context: &mut HarnessContext, now: Instant) {
     let settling_since = *context.settling_since.get_or_insert(now);
     let settling_for = now.duration_since(settling_since);
-    let has_requests = settling_for < context.client_behaviour.answer_timeout + REQUEST_GRACE;
-    if has_requests || !context.pending_steps.is_empty() {
+    let awaits_answers = settling_for < context.client_behaviour.answer_timeout + REQUEST_GRACE;
+    if awaits_answers || !context.pending_steps.is_empty() {
         return;
     }
     let expectations = &context.scenario.expectations;
--- a/crates/fault-injection/src/scenario/fault.rs
+++ b/crates/fault-injection/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a scenario's time line.
+//! Faults of a scenario's timeline.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,49 +8,49 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in seconds after the first client.
+    /// Start of the fault, in seconds after the clients start.
     pub at_s: f64,
-    /// What it does.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// How long it lasts in seconds, if it ends; the kind says what follows.
+    /// Duration in seconds; 0 if the fault has no end. The kind defines what happens at the end.
     #[serde(default, rename = "for_s")]
     pub duration_s: f64,
-    /// The parties that it affects: `n0`, `t3`, `discovery`, `leader`, `follower`, `zone0`, `nodes`, `transcribers`,
-    /// `all`.
+    /// Selector of the affected parties: `n0`, `t3`, `discovery`, `leader`, `follower`, `zone0`, `nodes`,
+    /// `transcribers`, `all`.
     #[serde(default, rename = "on")]
     pub target: String,
-    /// The other parties of the links that it affects; `all` if it is empty.
+    /// Selector of the other parties of the affected links; an empty one selects all parties.
     #[serde(default, rename = "to")]
     pub peer: String,
-    /// Whether it affects only the direction from `target` to `peer`.
+    /// Whether only the direction from `target` to `peer` is affected.
     #[serde(default, rename = "one_way")]
     pub is_one_way: bool,
-    /// Its magnitude: a ratio of datagrams, milliseconds, kilobytes a second, or a budget's limit.
+    /// Magnitude of the fault: a fraction of datagrams, milliseconds, kilobytes per second, or a budget's limit.
     #[serde(default, rename = "much")]
     pub magnitude: f64,
-    /// Number of restarts, or of servers.
+    /// Number of restarts or of servers.
     #[serde(default, rename = "times")]
     pub count: usize,
 }
 
 impl Fault {
-    /// Whether it ends by itself.
+    /// Returns true if the fault ends by itself.
     pub fn has_end(&self) -> bool {
         self.duration_s > 0.0
     }
 
-    /// How long it lasts.
+    /// Returns the duration of the fault.
     pub(crate) fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.duration_s)
     }
 
-    /// Its magnitude, where that is in milliseconds.
+    /// Returns the magnitude as a duration, if its unit is milliseconds.
     pub(crate) fn magnitude_as_duration(&self) -> Duration {
         Duration::from_secs_f64(self.magnitude / 1000.0)
     }
 }
 
-/// What a fault does; named as in scenario files.
+/// The kind of a fault, serialized under its name in scenario files.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub enum FaultKind {
     /// SIGKILL to nodes; after its duration, if it has one, they are restarted with an empty folder.
@@ -65,68 +65,68 @@
     /// SIGKILL and a restart at once, `count` times, its duration apart.
     #[serde(rename = "loop")]
     RestartLoop,
-    /// A node joins that no configuration names.
+    /// A node joins that the other nodes' configurations don't contain.
     #[serde(rename = "join")]
     Join,
     /// Another process starts under the name of a running node, at an address of its own.
     #[serde(rename = "twin")]
     DuplicateName,
-    /// Processes of another cluster take the addresses of killed nodes; after its duration, if it has one, the nodes are
-    /// back.
+    /// Processes of another cluster replace killed nodes at their addresses; after its duration, if it has one, the
+    /// nodes are restarted.
     #[serde(rename = "foreign")]
     ForeignCluster,
-    /// Links carry nothing.
+    /// Links carry no traffic.
     #[serde(rename = "cut")]
     Cut,
-    /// A ratio of the datagrams is lost.
+    /// A fraction of the datagrams is lost.
     #[serde(rename = "loss")]
     Loss,
-    /// A ratio of the datagrams arrives twice.
+    /// A fraction of the datagrams arrives twice.
     #[serde(rename = "double")]
     Duplicate,
-    /// A ratio of the datagrams arrives after later ones.
+    /// A fraction of the datagrams arrives after later ones.
     #[serde(rename = "reorder")]
     Reorder,
-    /// Everything arrives later by so many milliseconds.
+    /// All traffic is delayed by `magnitude` milliseconds.
     #[serde(rename = "delay")]
     Delay,
-    /// Everything arrives later by up to so many milliseconds.
+    /// All traffic is delayed by up to `magnitude` milliseconds, at random.
     #[serde(rename = "jitter")]
     Jitter,
-    /// Each stream carries at most so many kilobytes a second.
+    /// Each stream carries at most `magnitude` kilobytes per second.
     #[serde(rename = "throttle")]
     Throttle,
     /// All connections of the links are reset.
     #[serde(rename = "reset")]
     Reset,
-    /// `count` new upstream servers start, which warm up.
+    /// `count` new upstream servers start and have to warm up.
     #[serde(rename = "release")]
     AddServers,
-    /// Servers drain, and stop after its duration.
+    /// Servers drain, and stop after the fault's duration.
     #[serde(rename = "drain")]
     DrainServers,
     /// Servers stop; after its duration, if it has one, they are restarted and warm up.
     #[serde(rename = "die")]
     StopServers,
-    /// Servers answer nothing for its duration.
+    /// Servers are unresponsive for the fault's duration.
     #[serde(rename = "silence")]
-    SilenceServers,
-    /// Discovery brings nodes no changes.
+    UnresponsiveServers,
+    /// Discovery sends nodes no updates.
     #[serde(rename = "stale")]
     StaleDiscovery,
     /// Discovery is unavailable to nodes.
     #[serde(rename = "down")]
     DiscoveryOutage,
-    /// Discovery brings nodes changes so many milliseconds late.
+    /// Discovery sends nodes updates `magnitude` milliseconds late.
     #[serde(rename = "slow")]
     SlowDiscovery,
-    /// An operator sets the limit of the warm-up budget, at a node.
+    /// An operator changes the limit of the warm-up budget at a node.
     #[serde(rename = "whole")]
     SetBudget,
 }
 
 impl FaultKind {
-    /// Whether it affects the links between parties.
+    /// Returns true if the fault affects links between parties.
     pub fn is_link_fault(self) -> bool {
         matches!(
             self,
@@ -141,7 +141,7 @@
         )
     }
 
-    /// Whether its magnitude is a ratio of datagrams.
+    /// Returns true if the magnitude is a fraction of datagrams.
     pub fn has_ratio(self) -> bool {
         matches!(
             self,
@@ -149,32 +149,32 @@
         )
     }
 
-    /// Whether it makes a process start that the scenario's number of nodes does not count.
+    /// Returns true if the fault starts a process in addition to the scenario's number of nodes.
     pub(super) fn adds_node(self) -> bool {
         matches!(self, FaultKind::Join | FaultKind::DuplicateName)
     }
 
-    /// Whether it affects no party in particular.
+    /// Returns true if the fault needs no target.
     pub(super) fn has_no_target(self) -> bool {
         matches!(self, FaultKind::Join | FaultKind::AddServers)
     }
 
-    /// Whether it needs a duration.
-    pub(super) fn must_end(self) -> bool {
+    /// Returns true if the fault needs a duration.
+    pub(super) fn needs_duration(self) -> bool {
         matches!(
             self,
-            FaultKind::Freeze | FaultKind::SilenceServers | FaultKind::DrainServers
+            FaultKind::Freeze | FaultKind::UnresponsiveServers | FaultKind::DrainServers
         )
     }
 
-    /// Whether it needs a count.
-    pub(super) fn must_count(self) -> bool {
+    /// Returns true if the fault needs a count.
+    pub(super) fn needs_count(self) -> bool {
         matches!(self, FaultKind::RestartLoop | FaultKind::AddServers)
     }
 }
 
 impl fmt::Display for FaultKind {
-    /// Writes the word of scenario files.
+    /// Writes the kind's name in scenario files.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.serialize(formatter)
     }
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! A scenario file: sizes, clients, the time line of faults, and what is expected of the run.
+//! A scenario file: sizes, clients, the timeline of faults, and expectations of the run.
 //!
-//! An error names the line of the file.
+//! Errors in a file are reported with their line.
 
 mod fault;
 mod validation;
@@ -15,44 +15,44 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it shows, in a line.
+    /// One-line description.
     #[serde(rename = "about")]
     pub description: String,
-    /// Node processes: 1 to 60.
+    /// Number of node processes: 1 to 60.
     pub(crate) nodes: Spanned<usize>,
-    /// Number of nodes that the settings name; that of the processes if it is missing.
+    /// Number of nodes in the settings; the number of processes if it is missing.
     #[serde(rename = "instances")]
     pub(crate) settings_node_count: Option<usize>,
     /// Zones, to which nodes and servers are assigned in turn.
     #[serde(default = "default_zone_count", rename = "zones")]
     pub(crate) zone_count: usize,
-    /// Upstream servers that are warm from the start: 1 to 60.
+    /// Number of upstream servers that are warm from the start: 1 to 60.
     #[serde(rename = "transcribers")]
     pub(crate) servers: Spanned<usize>,
-    /// How long clients come, after all nodes are ready: 2 to 600 seconds.
+    /// Period in which client sessions start, once all nodes are ready: 2 to 600 seconds.
     pub(crate) seconds: Spanned<f64>,
-    /// Whether the nodes form a cluster; without one they have no operator's file.
+    /// Whether the nodes form a cluster; without a cluster they have no operator's file.
     #[serde(default = "default_true", rename = "talk")]
     pub(crate) is_clustered: bool,
-    /// Whether clients wait for the cluster's first leases.
+    /// Whether clients start only after the cluster has granted its first leases.
     #[serde(default = "default_true", rename = "settled")]
     pub(crate) waits_for_leases: bool,
-    /// Whether each node has a folder that outlives its processes.
+    /// Whether each node has a folder that persists across restarts.
     #[serde(default, rename = "folder")]
     pub(crate) has_persistent_folders: bool,
     /// The clients.
     #[serde(default)]
     pub(crate) clients: Clients,
-    /// How much load an upstream server bears.
+    /// The capacity of each upstream server.
     #[serde(default, rename = "bears")]
     pub(crate) server_capacity: ServerCapacity,
     /// The budget of connections to servers that are warming up.
     #[serde(rename = "cold")]
     pub(crate) warm_up_budget: Option<WarmUpBudget>,
-    /// The time line.
+    /// The timeline of faults.
     #[serde(default, rename = "fault")]
     pub(crate) faults: Vec<Spanned<Fault>>,
-    /// What must hold besides the checker's rules.
+    /// The expectations, in addition to the checker's rules.
     #[serde(default, rename = "hold")]
     pub(crate) expectations: Expectations,
 }
@@ -65,25 +65,25 @@
     true
 }
 
-/// How clients come and behave.
+/// The arrivals and behaviour of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Clients {
-    /// New ones in a second, over all nodes.
+    /// New clients per second, over all nodes.
     pub(crate) rate: f64,
-    /// How long their connections last in the mean, in seconds.
+    /// Mean duration of a client's connection, in seconds.
     #[serde(rename = "stand_s")]
     pub(crate) mean_duration_s: f64,
-    /// How long each waits for its answer, in milliseconds.
+    /// Time that a client waits for its answer, in milliseconds.
     #[serde(rename = "wait_ms")]
     pub(crate) answer_timeout_ms: u64,
-    /// How often each sends a line, in milliseconds.
+    /// Interval at which a client sends a line, in milliseconds.
     #[serde(rename = "line_ms")]
     pub(crate) line_interval_ms: u64,
-    /// Number of key groups that they belong to.
+    /// Number of key groups among the clients.
     #[serde(rename = "groups")]
     pub(crate) group_count: u64,
-    /// How many times as many of them the first node gets as each other one: 1 to 1,000.
+    /// Ratio of the first node's clients to those of each other node: 1 to 1,000.
     #[serde(rename = "skew")]
     pub(crate) first_node_weight: f64,
 }
@@ -101,17 +101,17 @@
     }
 }
 
-/// How much load an upstream server bears.
+/// The capacity of an upstream server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct ServerCapacity {
-    /// Connections that a warm one serves well.
+    /// Number of connections that a warm server has capacity for.
     #[serde(rename = "held")]
     pub(crate) connections: f64,
-    /// How long one warms up, in seconds.
+    /// Duration of the warm-up, in seconds.
     #[serde(rename = "cold_s")]
     pub(crate) warm_up_s: f64,
-    /// How long an idle one takes to establish a connection, in milliseconds.
+    /// Time that an idle server takes to establish a connection, in milliseconds.
     pub(crate) setup_ms: u64,
 }
 
@@ -125,29 +125,29 @@
     }
 }
 
-/// The budget of connections to servers that are warming up, as in the operator's file; without a cluster it is only
-/// checked.
+/// The budget of connections to servers that are warming up, as in the operator's file. Without a cluster, the checker
+/// applies it but the nodes don't.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct WarmUpBudget {
-    /// New connections to such servers in any second, over all nodes.
+    /// Maximum number of new connections to such servers in any second, over all nodes.
     #[serde(rename = "whole")]
     pub(crate) limit: u32,
-    /// The part that is set aside for each node.
+    /// The share of the budget that is reserved for each node.
     #[serde(default, rename = "floor")]
     pub(crate) node_floor: u32,
-    /// Spans in which clients want more than the limit: the budget's usage is measured there.
+    /// Spans in which the demand of clients exceeds the limit; the budget's usage is measured in these spans.
     #[serde(default, rename = "enough")]
     pub(crate) saturated_spans: Vec<TimeSpan>,
 }
 
-/// A span of a run, in seconds after the first client.
+/// A span of a run, in seconds after the clients start.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(from = "(f64, f64)")]
 pub struct TimeSpan {
-    /// Its beginning.
+    /// Start of the span.
     pub from_s: f64,
-    /// Its end.
+    /// End of the span.
     pub to_s: f64,
 }
 
@@ -157,28 +157,28 @@
     }
 }
 
-/// What must hold besides the checker's rules.
+/// The expectations of a run, in addition to the checker's rules.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Expectations {
-    /// The least ratio of the sessions that is served in time.
+    /// Minimum fraction of the sessions that must be served in time.
     #[serde(rename = "service")]
     pub(crate) min_service_ratio: f64,
-    /// Whether all running nodes must name one leader and count each other at the end.
+    /// Whether all running nodes must report the same leader and count each other as members at the end.
     #[serde(rename = "council")]
     pub(crate) one_leader_at_end: bool,
-    /// The least ratio of the budget that is leased at the end.
+    /// Minimum fraction of the budget that must be leased at the end.
     #[serde(rename = "taken")]
     pub(crate) min_leased_ratio: f64,
-    /// The least ratio of the budget that is used in its saturated spans.
+    /// Minimum fraction of the budget that must be used in its saturated spans.
     #[serde(rename = "used")]
     pub(crate) min_usage_ratio: f64,
-    /// The most clusters that may be bootstrapped; any number if it is 0.
+    /// Maximum number of clusters that may be bootstrapped; 0 for no limit.
     #[serde(rename = "foundings")]
     pub(crate) max_cluster_count: usize,
 }
 
-/// Why a scenario can't be used.
+/// The reason why a scenario can't be loaded.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The file can't be read.
@@ -189,7 +189,7 @@
         /// The reason.
         source: io::Error,
     },
-    /// The file's text is not a scenario.
+    /// The file's text is not a valid scenario.
     #[error("{path}")]
     Parse {
         /// The file.
@@ -199,7 +199,7 @@
     },
 }
 
-/// What is wrong with the text of a scenario, with its line.
+/// An error in the text of a scenario, with its line.
 #[derive(Debug, Error)]
 #[error("line {line}: {reason}")]
 pub struct ScenarioTextError {
@@ -207,7 +207,7 @@
     reason: String,
 }
 
-/// The number of the line with this byte.
+/// Returns the number of the line that contains this byte.
 fn line_at(text: &str, offset: usize) -> usize {
     let before = text.as_bytes().iter().take(offset);
     before.filter(|byte| **byte == b'\n').count() + 1
@@ -218,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// If the file can't be read, or its text is not a scenario.
+    /// If the file can't be read, or its text is not a valid scenario.
     pub fn load(path: &str) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Read {
             path: path.to_string(),
@@ -234,7 +234,7 @@
     ///
     /// # Errors
     ///
-    /// If the text has another form than a scenario's, or values that are out of bounds.
+    /// If the text does not have the form of a scenario, or has invalid values.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioTextError> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| ScenarioTextError {
             line: error.span().map_or(1, |span| line_at(text, span.start)),
@@ -247,28 +247,28 @@
         Ok(scenario)
     }
 
-    /// Number of node processes.
+    /// Returns the number of node processes.
     pub fn node_count(&self) -> usize {
         *self.nodes.get_ref()
     }
 
-    /// Number of servers that are warm from the start.
+    /// Returns the number of servers that are warm from the start.
     pub fn server_count(&self) -> usize {
         *self.servers.get_ref()
     }
 
-    /// How long clients come, in seconds.
+    /// Returns the period in which client sessions start, in seconds.
     pub fn duration_s(&self) -> f64 {
         *self.seconds.get_ref()
     }
 
-    /// Name of the zone that a node or server with this number belongs to.
+    /// Returns the name of the zone of the node or server with this number.
     pub(crate) fn zone_of(&self, number: usize) -> String {
         zone_name(number % self.zone_count)
     }
 }
 
-/// The name of a zone.
+/// Returns the name of a zone.
 pub(crate) fn zone_name(zone: usize) -> String {
     format!("zone{zone}")
 }
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -12,16 +12,24 @@
     "kind = \"melt\"",
     "line 7: unknown variant `melt`"
 )]
-#[case::no_end("for_s = 2.0", "for_s = 0.0", "line 5: for_s: it has to end")]
-#[case::nobody("on = \"n1\"", "on = \"n99\"", "line 5: on: \"n99\" is no party")]
+#[case::no_end(
+    "for_s = 2.0",
+    "for_s = 0.0",
+    "line 5: for_s: a fault of this kind needs a duration"
+)]
+#[case::unknown_party("on = \"n1\"", "on = \"n99\"", "line 5: on: \"n99\" selects no party")]
 #[case::late("at_s = 1.0", "at_s = 11.0", "line 5: at_s: 11 is not in 0 to 10")]
 #[case::no_link(
     "for_s = 2.0",
     "for_s = 2.0\nto = \"n0\"",
-    "line 5: to and one_way are for links"
+    "line 5: to and one_way are only for link faults"
 )]
 #[case::missing("nodes = 3\n", "", "line 1: missing field `nodes`")]
-fn a_wrong_file_names_line_and_reason(#[case] from: &str, #[case] to: &str, #[case] why: &str) {
+fn an_invalid_file_is_reported_with_line_and_reason(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] why: &str,
+) {
     match Scenario::parse(&GOOD.replacen(from, to, 1)) {
         Ok(_) => assert_eq!(why, ""),
         Err(error) => assert!(
--- a/crates/fault-injection/src/scenario/validation.rs
+++ b/crates/fault-injection/src/scenario/validation.rs
@@ -1,18 +1,18 @@
-//! Bounds of a scenario's values, beyond what the form of the file says.
+//! Validation of a scenario's values, beyond the form of the file.
 
 use super::{Fault, Scenario};
 use std::ops::RangeInclusive;
 use thiserror::Error;
 use toml::Spanned;
 
-/// Node processes of a run, with those that join.
+/// Maximum number of a run's node processes, including those that join.
 const MAX_NODE_COUNT: usize = 62;
-/// Servers of a run, with those that are added.
+/// Maximum number of a run's servers, including those that are added.
 const MAX_SERVER_COUNT: usize = 160;
-/// Saturated spans of a budget are at least so long.
+/// Minimum duration of a budget's saturated spans.
 const MIN_SPAN_SECONDS: f64 = 0.1;
 
-/// What is wrong with a value.
+/// The reason why a value is invalid.
 #[derive(Debug, Error)]
 pub(super) enum InvalidValue {
     #[error("{field}: {value} is not in {min} to {max}")]
@@ -22,20 +22,20 @@
         min: f64,
         max: f64,
     },
-    #[error("{field}: {selector:?} is no party of this trial")]
+    #[error("{field}: {selector:?} selects no party of this scenario")]
     UnknownParty {
         field: &'static str,
         selector: String,
     },
-    #[error("to and one_way are for links")]
+    #[error("to and one_way are only for link faults")]
     NotALink,
-    #[error("for_s: it has to end")]
+    #[error("for_s: a fault of this kind needs a duration")]
     MissingDuration,
-    #[error("times: how often, or how many")]
+    #[error("times: a fault of this kind needs a count")]
     MissingCount,
 }
 
-/// A wrong value with its byte offset in the file.
+/// An invalid value with its byte offset in the file.
 #[derive(Debug)]
 pub(super) struct InvalidValueAt {
     pub(super) offset: usize,
@@ -71,8 +71,12 @@
     Err(out_of_range.at(offset))
 }
 
-/// Checks a value whose place in the file is not known.
-fn check_range_anywhere(field: &'static str, value: f64, range: RangeInclusive<f64>) -> Validation {
+/// Checks a value whose position in the file is unknown; errors name the first line.
+fn check_range_without_offset(
+    field: &'static str,
+    value: f64,
+    range: RangeInclusive<f64>,
+) -> Validation {
     check_range(field, value, range, 0)
 }
 
@@ -87,7 +91,7 @@
             .iter()
             .filter(|fault| fault.get_ref().kind.adds_node())
             .count();
-        check_range_anywhere(
+        check_range_without_offset(
             "nodes with those that join",
             (self.node_count() + joining_count) as f64,
             1.0..=MAX_NODE_COUNT as f64,
@@ -106,33 +110,33 @@
         check_range("transcribers", server_count, 1.0..=60.0, servers_offset)?;
         let seconds_offset = self.seconds.span().start;
         check_range("seconds", self.duration_s(), 2.0..=600.0, seconds_offset)?;
-        check_range_anywhere("zones", self.zone_count as f64, 1.0..=10.0)
+        check_range_without_offset("zones", self.zone_count as f64, 1.0..=10.0)
     }
 
     fn validate_clients(&self) -> Validation {
         let clients = &self.clients;
         let line_interval_ms = clients.line_interval_ms as f64;
-        check_range_anywhere("clients.rate", clients.rate, 0.0..=2_000.0)?;
-        check_range_anywhere("clients.stand_s", clients.mean_duration_s, 0.1..=600.0)?;
-        check_range_anywhere(
+        check_range_without_offset("clients.rate", clients.rate, 0.0..=2_000.0)?;
+        check_range_without_offset("clients.stand_s", clients.mean_duration_s, 0.1..=600.0)?;
+        check_range_without_offset(
             "clients.wait_ms",
             clients.answer_timeout_ms as f64,
             100.0..=10_000.0,
         )?;
-        check_range_anywhere("clients.line_ms", line_interval_ms, 50.0..=10_000.0)?;
-        check_range_anywhere("clients.groups", clients.group_count as f64, 1.0..=1e9)?;
-        check_range_anywhere("clients.skew", clients.first_node_weight, 1.0..=1_000.0)
+        check_range_without_offset("clients.line_ms", line_interval_ms, 50.0..=10_000.0)?;
+        check_range_without_offset("clients.groups", clients.group_count as f64, 1.0..=1e9)?;
+        check_range_without_offset("clients.skew", clients.first_node_weight, 1.0..=1_000.0)
     }
 
     fn validate_servers(&self) -> Validation {
         let budget = self.warm_up_budget.iter();
         for span in budget.flat_map(|budget| &budget.saturated_spans) {
             let range = span.from_s + MIN_SPAN_SECONDS..=self.duration_s();
-            check_range_anywhere("cold.enough: its end", span.to_s, range)?;
+            check_range_without_offset("cold.enough: its end", span.to_s, range)?;
         }
         let capacity = &self.server_capacity;
-        check_range_anywhere("bears.held", capacity.connections, 1.0..=10_000.0)?;
-        check_range_anywhere("bears.cold_s", capacity.warm_up_s, 0.1..=600.0)
+        check_range_without_offset("bears.held", capacity.connections, 1.0..=10_000.0)?;
+        check_range_without_offset("bears.cold_s", capacity.warm_up_s, 0.1..=600.0)
     }
 
     fn validate_fault(&self, fault: &Spanned<Fault>) -> Validation {
@@ -169,7 +173,7 @@
         Ok(())
     }
 
-    /// Whether a word selects parties; the empty one selects all.
+    /// Returns true if the text is a valid selector; the empty one selects all parties.
     fn is_selector(&self, selector: &str) -> bool {
         let is_numbered = |prefix: &str, count: usize| {
             let number = selector.strip_prefix(prefix);
@@ -185,15 +189,15 @@
     }
 }
 
-/// Checks what the kind of a fault needs.
+/// Checks the fields that the kind of a fault requires or excludes.
 fn validate_needs(fault: &Fault) -> Result<(), InvalidValue> {
     if !fault.kind.is_link_fault() && (!fault.peer.is_empty() || fault.is_one_way) {
         return Err(InvalidValue::NotALink);
     }
-    if fault.kind.must_end() && fault.duration_s <= 0.0 {
+    if fault.kind.needs_duration() && fault.duration_s <= 0.0 {
         return Err(InvalidValue::MissingDuration);
     }
-    if fault.kind.must_count() && fault.count == 0 {
+    if fault.kind.needs_count() && fault.count == 0 {
         return Err(InvalidValue::MissingCount);
     }
     Ok(())
--- a/crates/fault-injection/src/search.rs
+++ b/crates/fault-injection/src/search.rs
@@ -216,7 +216,7 @@
             let faults = draw_faults(self.scenario, seed);
             let outcome = self.run_with(&faults, seed, options())?;
             result.run_count += 1;
-            result.failed_count += usize::from(!outcome.is_passed());
+            result.failed_count += usize::from(!outcome.has_passed());
             result.runs.push(SearchedRun::new(&outcome));
             on_outcome(result.run_count, &outcome);
             let harm = Harm::of(&outcome);
@@ -248,14 +248,14 @@
         options: &impl Fn() -> RunOptions,
     ) -> Result<Outcome, RunError> {
         let mut position = 0;
-        while !candidate.outcome.is_passed()
+        while !candidate.outcome.has_passed()
             && position < candidate.faults.len()
             && candidate.faults.len() > 1
         {
             let mut faults = candidate.faults.clone();
             faults.remove(position);
             let outcome = self.run_with(&faults, candidate.outcome.seed, options())?;
-            if outcome.is_passed() {
+            if outcome.has_passed() {
                 position += 1;
             } else {
                 candidate = Candidate { faults, outcome };
--- a/crates/fault-injection/src/stream_proxy/relayed_stream.rs
+++ b/crates/fault-injection/src/stream_proxy/relayed_stream.rs
@@ -210,7 +210,7 @@
         let direction = self.direction_from(side);
         let harness = &mut context.application;
         let condition = harness.network.links.condition(direction);
-        let due_at = Instant::now() + condition.draw_latency(&mut harness.random);
+        let due_at = Instant::now() + condition.draw_latency(&mut harness.rng);
         if condition.bytes_per_second <= 0.0 {
             return due_at;
         }
--- a/crates/fault-injection/tests/rule_breakers.rs
+++ b/crates/fault-injection/tests/rule_breakers.rs
@@ -1,4 +1,4 @@
-//! The checker finds each violation: one scripted node breaks each rule, as a process of its own.
+//! Verifies that the checker detects each kind of violation: for each rule, a scripted node process breaks that rule.
 
 use lupincrank_fault_injection::run::{run, RunOptions};
 use lupincrank_fault_injection::scenario::Scenario;
@@ -35,15 +35,15 @@
 const RELEASE: &str = "[[fault]]\nat_s = 0.3\nkind = \"release\"\ntimes = 1\n";
 
 #[rstest]
-#[case::a_second_answer("answers-twice", "", "one-answer")]
+#[case::second_answer("answers-twice", "", "one-answer")]
 #[case::no_answer("silent", "", "one-answer")]
 #[case::two_attempts("two-at-once", "", "one-attempt")]
-#[case::new_work_for_one_that_drains("past-grace", DRAIN, "drain-grace")]
-#[case::a_cold_one_pushed_over("cold-crowd", RELEASE, "cold-fell")]
-#[case::more_than_the_whole("cold-crowd", RELEASE, "budget")]
-#[case::cut_off("cuts", "", "cut-off")]
-#[case::an_end_unasked("crashes", "", "crash")]
-fn each_rule_breaker_is_found(#[case] kind: &str, #[case] more: &str, #[case] rule: &str) {
+#[case::attempts_at_a_draining_server("past-grace", DRAIN, "drain-grace")]
+#[case::overload_of_a_server_that_is_warming_up("cold-crowd", RELEASE, "cold-fell")]
+#[case::budget_exceeded("cold-crowd", RELEASE, "budget")]
+#[case::unexpected_close("cuts", "", "cut-off")]
+#[case::unexpected_exit("crashes", "", "crash")]
+fn each_rule_breaker_is_detected(#[case] kind: &str, #[case] more: &str, #[case] rule: &str) {
     let outcome = outcome(kind, more);
     let violated: Vec<String> = outcome
         .verdict
@@ -56,7 +56,7 @@
         "{rule} is not among {violated:?}; {:?}",
         outcome.events
     );
-    // No other rule is reported.
+    // No other rule is reported, except by the two kinds that may violate further rules.
     let others = violated
         .iter()
         .filter(|other| **other != rule && kind != "cold-crowd" && kind != "crashes");
