--- a/crates/fault-injection/src/scenario/fault.rs
+++ b/crates/fault-injection/src/scenario/fault.rs
@@ -53,7 +53,7 @@
 /// The kind of a fault, serialized under its name in scenario files.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub enum FaultKind {
-    /// SIGKILL to nodes; after its duration, if it has one, they are restarted with an empty folder.
+    /// SIGKILL to nodes; after its duration, if it has one, they are restarted with an empty temporary folder.
     #[serde(rename = "kill")]
     Kill,
     /// SIGSTOP, and SIGCONT after its duration.
