--- a/crates/fault-injection/src/client_sessions.rs
+++ b/crates/fault-injection/src/client_sessions.rs
@@ -1,4 +1,4 @@
-//! Client sessions of the plan: when they come, and which node each request goes to.
+//! Runs the client sessions of the plan: starts them on time, and chooses the node for each request.
 
 use crate::deadline::DeadlineKind;
 use crate::harness::{HarnessContext, Phase};
@@ -6,18 +6,18 @@
 use lupincrank_test_servers::client::{self, ClientSession};
 use std::time::{Duration, Instant};
 
-/// Pause before a session is tried again that found no node.
+/// Delay before a session retries a request that could not be sent.
 const NO_NODE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Deadlines are at least so far away.
+/// Minimum time until a deadline.
 const MIN_DEADLINE_DELAY: Duration = Duration::from_millis(1);
-/// Weight of a node that is not preferred: what fractions of weights are counted in.
+/// Weight of a node other than the first; weights are integers in thousandths of it.
 const NODE_WEIGHT_UNIT: f64 = 1000.0;
-/// Spreads seeds over the upper half of request ids.
+/// Multiplier that spreads seeds over the upper half of request IDs.
 const REQUEST_ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// How much a reconnect changes the choice of a node.
+/// Added to the draw of a reconnecting session, which changes the choice of a node.
 const RECONNECT_DRAW_OFFSET: u64 = 7;
 
-/// Chooses a node of these: the first node of the run counts `first_node_weight` times.
+/// Chooses one of the ready nodes; the first node of the run has `first_node_weight` times the weight of another node.
 fn choose_node(ready_nodes: &[usize], draw: u64, first_node_weight: f64) -> usize {
     if first_node_weight <= 1.0 {
         return ready_nodes[(draw % ready_nodes.len() as u64) as usize];
@@ -40,7 +40,7 @@
     ready_nodes[0]
 }
 
-/// Sends the requests of all sessions that are due.
+/// Sends the next request of each session that is due.
 pub(crate) fn run_due_sessions(context: &mut HarnessContext) {
     let now = Instant::now();
     if context.phase == Phase::Running {
@@ -104,7 +104,7 @@
     }
 }
 
-/// The plan's draw for a session's first request, and others for each one after it.
+/// The draw that chooses the node: the plan's draw for a session's first request, others for later requests.
 fn node_draw(context: &HarnessContext, session: &ClientSession) -> u64 {
     let planned = context.plan.sessions.get(session.number as usize - 1);
     planned
@@ -113,7 +113,7 @@
         .wrapping_add(u64::from(session.is_reconnect) * RECONNECT_DRAW_OFFSET)
 }
 
-/// Sets the deadline of the next session.
+/// Sets the deadline for the next session that is due.
 pub(crate) fn set_deadline(context: &mut HarnessContext) {
     let now = Instant::now();
     let mut next = context.sessions.next_due_at();
--- a/crates/fault-injection/src/datagram_proxy.rs
+++ b/crates/fault-injection/src/datagram_proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy of one direction of a link's datagrams: it passes, loses, duplicates, delays and reorders them.
+//! A proxy for the datagrams of one direction of a link: relays, drops, duplicates, delays and reorders them.
 
 use crate::deadline::DeadlineKind;
 use crate::harness::{Harness, HarnessContext};
@@ -13,16 +13,16 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Datagrams received in one turn of the loop.
+/// Limit of datagrams received in one iteration of the event loop.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Datagrams above which delayed ones are lost.
+/// Limit of delayed datagrams; further ones are dropped.
 const MAX_DELAYED_DATAGRAMS: usize = 4096;
-/// Datagrams are at most so long.
+/// Maximum length of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// How much later a reordered datagram arrives.
+/// Additional delay of a reordered datagram.
 const REORDER_DELAY: Duration = Duration::from_millis(60);
 
-/// Orders delayed datagrams by their moment, and by their arrival.
+/// Orders delayed datagrams by due time, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedKey {
     due_at: Instant,
@@ -38,7 +38,7 @@
     last_sequence: u64,
 }
 
-/// Opens a proxy at this address; what it receives goes on to `target`.
+/// Opens a proxy at `address` that forwards the datagrams it receives to `target`.
 pub(crate) fn open(
     context: &mut HarnessContext,
     direction: LinkDirection,
@@ -62,23 +62,23 @@
     Ok(())
 }
 
-/// Draws whether something of this probability happens; without a draw if it can't.
-fn draw_chance(random: &mut Pcg64Mcg, ratio: f64) -> bool {
-    ratio > 0.0 && random.random::<f64>() < ratio
+/// Returns true with the given probability. Draws no random number if the probability is 0.
+fn draw_bool(rng: &mut Pcg64Mcg, probability: f64) -> bool {
+    probability > 0.0 && rng.random::<f64>() < probability
 }
 
 impl DatagramProxy {
     fn relay(&mut self, harness: &mut Harness, bytes: &[u8]) {
         let condition = harness.network.links.condition(self.direction);
-        let random = &mut harness.random;
-        if condition.is_cut || draw_chance(random, condition.loss_ratio) {
+        let rng = &mut harness.random;
+        if condition.is_cut || draw_bool(rng, condition.loss_ratio) {
             return;
         }
-        let is_duplicated = draw_chance(random, condition.duplicate_ratio);
-        let is_reordered = draw_chance(random, condition.reorder_ratio);
+        let is_duplicated = draw_bool(rng, condition.duplicate_ratio);
+        let is_reordered = draw_bool(rng, condition.reorder_ratio);
         let copy_count = 1 + usize::from(is_duplicated);
         for _ in 0..copy_count {
-            let mut delay = condition.draw_latency(random);
+            let mut delay = condition.draw_latency(rng);
             if is_reordered {
                 delay += REORDER_DELAY;
             }
@@ -88,7 +88,7 @@
 
     fn send_after(&mut self, delay: Duration, bytes: &[u8]) {
         if delay.is_zero() {
-            // What the system does not accept is lost, as datagrams are.
+            // A datagram that the kernel does not accept is lost, as in any network.
             let _ = self.socket.send_to(bytes, self.target);
         } else if self.delayed.len() < MAX_DELAYED_DATAGRAMS {
             self.last_sequence += 1;
@@ -121,7 +121,7 @@
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, _)) => self.relay(&mut context.application, &bytes[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // A dead node's system has refused an earlier datagram.
+                // An earlier datagram was refused because the target node is not running.
                 Err(_) => {}
             }
         }
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -1,4 +1,4 @@
-//! The condition of each link between two parties, each direction by itself.
+//! The condition of each link between two parties, separately for each direction.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -52,36 +52,36 @@
     }
 }
 
-/// What happens to traffic in one direction of a link.
+/// The faults that apply to traffic in one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// Nothing passes.
+    /// Whether all traffic is blocked.
     pub is_cut: bool,
-    /// Everything arrives later by this.
+    /// Fixed delay of all traffic.
     pub delay: Duration,
-    /// Everything arrives later by up to this, besides the delay.
+    /// Upper limit of a random delay in addition to the fixed one.
     pub max_jitter: Duration,
-    /// Ratio of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub loss_ratio: f64,
-    /// Ratio of datagrams that arrive twice.
+    /// Fraction of datagrams that arrive twice.
     pub duplicate_ratio: f64,
-    /// Ratio of datagrams that arrive after later ones.
+    /// Fraction of datagrams that arrive after later ones.
     pub reorder_ratio: f64,
-    /// Limit of each stream's throughput; 0 for none.
+    /// Limit of each stream's throughput; 0 for no limit.
     pub bytes_per_second: f64,
 }
 
 impl LinkCondition {
-    /// Draws how much later something arrives.
-    pub(crate) fn draw_latency(&self, random: &mut Pcg64Mcg) -> Duration {
+    /// Draws the delay of a datagram or of a chunk of a stream.
+    pub(crate) fn draw_latency(&self, rng: &mut Pcg64Mcg) -> Duration {
         if self.max_jitter.is_zero() {
             return self.delay;
         }
-        self.delay + self.max_jitter.mul_f64(random.random::<f64>())
+        self.delay + self.max_jitter.mul_f64(rng.random::<f64>())
     }
 }
 
-/// The conditions of all directions; those that are not listed are without faults.
+/// The conditions of all directions; directions without an entry have no faults.
 #[derive(Default)]
 pub(crate) struct LinkTable {
     conditions: BTreeMap<LinkDirection, LinkCondition>,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether no connection can be established: it needs both directions.
+    /// Returns true if no connection can be established, because either direction is cut.
     pub(crate) fn is_cut(&self, direction: LinkDirection) -> bool {
         self.condition(direction).is_cut || self.condition(direction.reversed()).is_cut
     }
--- a/crates/fault-injection/src/merged_log.rs
+++ b/crates/fault-injection/src/merged_log.rs
@@ -1,4 +1,4 @@
-//! The logs of all nodes and the run's own time line, merged by time.
+//! Merges the logs of all nodes and the timeline of the run by time.
 
 use crate::harness::{EventKind, Harness};
 use crate::node_process::NodeProcess;
@@ -9,10 +9,11 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines of each log that are told of a run that could not be carried out.
+/// Number of last lines of each log in the error of a failed run.
 const TAIL_LINE_COUNT: usize = 6;
-/// Where the time of day is in a line of a node's log, and where its message begins.
+/// Position of the time of day in a line of a node's log.
 const TIME_COLUMNS: Range<usize> = 7..19;
+/// Start of the message in a line of a node's log.
 const MESSAGE_COLUMN: usize = 20;
 const MS_PER_SECOND: u128 = 1000;
 const MS_PER_MINUTE: u128 = 60_000;
@@ -21,7 +22,7 @@
 
 /// A line of the merged log.
 struct MergedLine {
-    /// The time of day, as nodes write it.
+    /// The time of day, in the format of the nodes' logs.
     time: String,
     text: String,
 }
@@ -41,7 +42,7 @@
     text
 }
 
-/// Writes each node's log and the merged one into a folder.
+/// Writes the log of each node and the merged log into a folder.
 pub(crate) fn write(harness: &Harness, folder: &Path) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     let mut lines = Vec::new();
@@ -63,7 +64,7 @@
 fn append_log(lines: &mut Vec<MergedLine>, node: &NodeProcess, log: &str) {
     for line in log.lines() {
         let own_time = line.get(TIME_COLUMNS).filter(|time| is_time_of_day(time));
-        // Lines without a time stay behind the one before.
+        // A line without a time gets the time of the previous line, to stay behind it.
         let time = match (own_time, lines.last()) {
             (Some(time), _) => time.to_string(),
             (None, Some(previous)) => previous.time.clone(),
@@ -92,7 +93,7 @@
     }
 }
 
-/// The time of day in UTC, as the nodes' logs write it.
+/// The time of day in UTC, in the format of the nodes' logs.
 fn time_of_day(wall_clock: SystemTime) -> String {
     let since_epoch = wall_clock.duration_since(UNIX_EPOCH).unwrap_or_default();
     let ms = since_epoch.as_millis() % MS_PER_DAY;
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of an outcome file for people: text, and a picture of the time line.
+//! Human-readable reports of an outcome file: text, and a chart of the timeline.
 
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
@@ -11,28 +11,28 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Width and height of the picture in pixels.
-const PICTURE_SIZE: (u32, u32) = (1000, 560);
+/// Width and height of the chart image in pixels.
+const IMAGE_SIZE: (u32, u32) = (1000, 560);
 const CHART_MARGIN: u32 = 12;
 const LINE_WIDTH: u32 = 2;
-/// The vertical axis reaches so far beyond the greatest value.
+/// Ratio of the upper end of the vertical axis to the greatest value.
 const AXIS_HEADROOM: f64 = 1.1;
 const FAULT_OPACITY: f64 = 0.5;
 const GREY: RGBColor = RGBColor(200, 200, 200);
 
-/// The picture could not be drawn.
+/// An error while drawing the chart.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct DrawError(String);
 
 impl DrawError {
-    /// Takes any error of the drawing library, which has a type for each of its parts.
+    /// Converts any error of the drawing library, which has a separate error type for each of its parts.
     fn new(error: impl fmt::Display) -> DrawError {
         DrawError(error.to_string())
     }
 }
 
-/// A page of text about an outcome.
+/// Renders an outcome as text.
 pub fn text(outcome: &Value) -> String {
     let mut text = String::new();
     // Writing to a string can't fail.
@@ -50,7 +50,7 @@
 fn write_summary(text: &mut String, outcome: &Value) -> fmt::Result {
     writeln!(
         text,
-        "{} seed {}: {} nodes, {} requests, service {:.3}, unanswered {}, lost with a node {}",
+        "{} seed {}: {} nodes, {} requests, service {:.3}, unanswered {}, lost with killed or frozen nodes {}",
         outcome["scenario"].as_str().unwrap_or("?"),
         outcome["seed"],
         outcome["nodes"],
@@ -72,7 +72,7 @@
     for budget in elements(&outcome["budgets"]) {
         writeln!(
             text,
-            "  budget {}: {} in a second at the most, {} are the whole, {} in all",
+            "  budget {}: peak {} in a second, limit {}, total {}",
             budget["name"].as_str().unwrap_or("?"),
             budget["peak"],
             budget["whole"],
@@ -100,12 +100,12 @@
     Ok(())
 }
 
-/// The elements of an array; none of any other value.
+/// The elements of an array; empty for any other value.
 fn elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// An entry of the outcome's time line.
+/// An entry of the outcome's timeline.
 struct ReportedEvent<'a> {
     at_s: f64,
     text: &'a str,
@@ -120,17 +120,17 @@
     })
 }
 
-/// A point of a chart: seconds, and a value.
+/// A point of a chart: time in seconds, and value.
 type Point = (f64, f64);
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// What both charts share.
+/// The horizontal axis and the fault times that both charts share.
 struct TimeAxis {
     end_s: f64,
     fault_times_s: Vec<f64>,
 }
 
-/// The ratio of sessions served in time, by second.
+/// The fraction of sessions that were served in time, by second.
 fn service_points(outcome: &Value) -> Vec<Point> {
     let seconds = outcome["by_second"].as_object().into_iter().flatten();
     let points = seconds.filter_map(|(second, counts)| {
@@ -139,12 +139,12 @@
         Some((second.parse().ok()?, served.min(due) / due.max(1.0)))
     });
     let mut points: Vec<Point> = points.collect();
-    // The file has the seconds in the order of their digits.
+    // The keys of the JSON object are ordered as text, not as numbers.
     points.sort_by(|one, other| one.0.total_cmp(&other.0));
     points
 }
 
-/// Draws the service and the first budget over time, with the moments of faults.
+/// Draws the service ratio and the usage of the first budget over time, with a vertical line at each fault.
 ///
 /// # Errors
 ///
@@ -156,7 +156,7 @@
         end_s: service.iter().map(|point| point.0).fold(1.0, f64::max) + 1.0,
         fault_times_s: faults.map(|event| event.at_s).collect(),
     };
-    let root = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, IMAGE_SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(DrawError::new)?;
     let areas = root.split_evenly((2, 1));
     let mut service_chart = new_chart(&areas[0], &axis, 1.0)?;
@@ -169,7 +169,7 @@
     root.present().map_err(DrawError::new)
 }
 
-/// Draws the uses of a budget in each second, and its limit.
+/// Draws the usage of a budget in each second, and its limit.
 fn draw_budget(
     area: &DrawingArea<SVGBackend, Shift>,
     axis: &TimeAxis,
@@ -207,7 +207,7 @@
     vec![(0.0, value), (axis.end_s, value)]
 }
 
-/// Draws a vertical line at the moment of each fault.
+/// Draws a vertical line at the time of each fault.
 fn draw_faults(chart: &mut Chart, axis: &TimeAxis, max: f64) -> Result<(), DrawError> {
     let top = max * AXIS_HEADROOM;
     let lines = axis
--- a/crates/fault-injection/src/search.rs
+++ b/crates/fault-injection/src/search.rs
@@ -1,5 +1,5 @@
-//! Searches for harmful time lines: draws faults, keeps the time line that does most harm, and leaves out of it what does
-//! not matter.
+//! Searches for severe fault timelines: generates random faults, selects the timeline with the most severe outcome, and
+//! removes the faults that its violations do not need.
 
 use crate::error::RunError;
 use crate::outcome::Outcome;
@@ -10,15 +10,15 @@
 use serde::Serialize;
 use toml::Spanned;
 
-/// Faults of one drawn time line.
+/// Limit of faults in one random timeline.
 const MAX_FAULT_COUNT: usize = 4;
-/// Faults begin in this part of the run at the latest.
+/// Faults begin within this fraction of the run's duration.
 const MAX_START_RATIO: f64 = 0.7;
-/// Restarts in a loop are so many seconds apart.
+/// Time between the restarts of a restart loop.
 const RESTART_INTERVAL_SECONDS: f64 = 0.3;
 
-/// Kinds of faults that are drawn.
-const DRAWN_KINDS: [FaultKind; 12] = [
+/// Kinds of faults that random timelines contain.
+const RANDOM_FAULT_KINDS: [FaultKind; 12] = [
     FaultKind::Kill,
     FaultKind::Freeze,
     FaultKind::Terminate,
@@ -33,12 +33,12 @@
     FaultKind::Join,
 ];
 
-/// What is searched.
+/// The parameters of a search.
 #[derive(Clone, Copy)]
 pub struct Search<'a> {
     /// Name of the scenario.
     pub name: &'a str,
-    /// The scenario, whose own faults stay.
+    /// The scenario; its own faults are part of every run.
     pub scenario: &'a Scenario,
     /// The seed of the first run.
     pub seed: u64,
@@ -46,16 +46,16 @@
     pub run_count: usize,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Debug, Serialize)]
 pub struct SearchResult {
-    /// Runs that were made.
+    /// Number of runs.
     #[serde(rename = "runs")]
     pub run_count: usize,
-    /// Those with a violation.
+    /// Number of runs with a violation.
     #[serde(rename = "broken")]
     pub failed_count: usize,
-    /// The most harmful one, with the fewest faults that still violate a rule.
+    /// The most severe run; after a violation, without the faults that violations do not need.
     pub worst: Option<Outcome>,
     /// All runs.
     #[serde(rename = "trials")]
@@ -66,11 +66,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(u64, f64, u32, u32, usize)")]
 pub struct SearchedRun {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The ratio of sessions that were served in time.
+    /// The fraction of sessions that were served in time.
     pub service_ratio: f64,
-    /// The most uses of the budget in a second.
+    /// The greatest usage of the budget in one second.
     pub budget_peak: u32,
     /// The limit of the budget.
     pub budget_limit: u32,
@@ -103,17 +103,17 @@
     }
 }
 
-/// How harmful a run was; compared in the order of the fields.
+/// The severity of a run's outcome; compared in the order of the fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Harm {
+struct Severity {
     violation_count: usize,
     unanswered: u64,
     unserved_permille: u64,
 }
 
-impl Harm {
-    fn of(outcome: &Outcome) -> Harm {
-        Harm {
+impl Severity {
+    fn of(outcome: &Outcome) -> Severity {
+        Severity {
             violation_count: outcome.verdict.violations.len(),
             unanswered: outcome.unanswered,
             unserved_permille: ((1.0 - outcome.service_ratio) * 1000.0) as u64,
@@ -121,47 +121,45 @@
     }
 }
 
-/// A drawn time line and what came of it.
+/// A random timeline and its outcome.
 struct Candidate {
     faults: Vec<Fault>,
     outcome: Outcome,
 }
 
-/// Draws a time line for a scenario.
+/// Generates a random timeline for a scenario.
 pub fn draw_faults(scenario: &Scenario, seed: u64) -> Vec<Fault> {
-    let mut random = Pcg64Mcg::new(u128::from(seed) << 16 | 5);
-    let fault_count = random.random_range(1..=MAX_FAULT_COUNT);
+    let mut rng = Pcg64Mcg::new(u128::from(seed) << 16 | 5);
+    let fault_count = rng.random_range(1..=MAX_FAULT_COUNT);
     let mut faults: Vec<Fault> = (0..fault_count)
-        .map(|_| draw_fault(scenario, &mut random))
+        .map(|_| draw_fault(scenario, &mut rng))
         .collect();
     faults.sort_by(|one, other| one.at_s.total_cmp(&other.at_s));
     faults
 }
 
-/// Draws one fault. The order of the draws decides what a seed draws, and must stay.
-fn draw_fault(scenario: &Scenario, random: &mut Pcg64Mcg) -> Fault {
-    let kind = DRAWN_KINDS[random.random_range(0..DRAWN_KINDS.len())];
-    let at_s = random.random_range(0.5..scenario.duration_s() * MAX_START_RATIO);
+/// Generates one fault. The order of the draws must not change: it determines the faults that a seed generates.
+fn draw_fault(scenario: &Scenario, rng: &mut Pcg64Mcg) -> Fault {
+    let kind = RANDOM_FAULT_KINDS[rng.random_range(0..RANDOM_FAULT_KINDS.len())];
+    let at_s = rng.random_range(0.5..scenario.duration_s() * MAX_START_RATIO);
     let duration_s = match kind {
         FaultKind::RestartLoop => RESTART_INTERVAL_SECONDS,
-        _ => random.random_range(0.3..6.0),
+        _ => rng.random_range(0.3..6.0),
     };
     let target = match kind {
         FaultKind::Join => String::new(),
-        _ => draw_node(scenario, random),
+        _ => draw_node(scenario, rng),
     };
     let is_link_fault = kind.is_link_fault();
     let peer = if is_link_fault { "nodes" } else { "" };
-    let is_one_way = is_link_fault && random.random::<bool>();
+    let is_one_way = is_link_fault && rng.random::<bool>();
     let magnitude = match kind {
-        FaultKind::Loss | FaultKind::Duplicate | FaultKind::Reorder => {
-            random.random_range(0.1..0.6)
-        }
-        FaultKind::Delay | FaultKind::Jitter => random.random_range(10.0..400.0),
+        FaultKind::Loss | FaultKind::Duplicate | FaultKind::Reorder => rng.random_range(0.1..0.6),
+        FaultKind::Delay | FaultKind::Jitter => rng.random_range(10.0..400.0),
         _ => 0.0,
     };
     let count = match kind {
-        FaultKind::RestartLoop => random.random_range(2..6),
+        FaultKind::RestartLoop => rng.random_range(2..6),
         _ => 0,
     };
     Fault {
@@ -177,15 +175,15 @@
 }
 
 /// Draws a selector of one node.
-fn draw_node(scenario: &Scenario, random: &mut Pcg64Mcg) -> String {
-    match random.random_range(0..4) {
+fn draw_node(scenario: &Scenario, rng: &mut Pcg64Mcg) -> String {
+    match rng.random_range(0..4) {
         0 => "leader".to_string(),
         1 => "follower".to_string(),
-        _ => format!("n{}", random.random_range(0..scenario.node_count())),
+        _ => format!("n{}", rng.random_range(0..scenario.node_count())),
     }
 }
 
-/// The scenario with more faults. Its own ones stay: they start the servers that the budget is for.
+/// Adds faults to a scenario. The scenario's own faults stay: they start the servers that the budget is for.
 fn with_faults(scenario: &Scenario, faults: &[Fault]) -> Scenario {
     let drawn = faults.iter().map(|fault| Spanned::new(0..0, fault.clone()));
     let mut scenario = scenario.clone();
@@ -194,11 +192,11 @@
 }
 
 impl Search<'_> {
-    /// Makes the runs, then reduces the most harmful one. `on_outcome` gets the number and outcome of each run.
+    /// Executes the runs, then reduces the most severe one. `on_outcome` receives the number and outcome of each run.
     ///
     /// # Errors
     ///
-    /// If a run could not be carried out.
+    /// If a run could not be executed.
     pub fn run(
         &self,
         options: impl Fn() -> RunOptions,
@@ -219,8 +217,8 @@
             result.failed_count += usize::from(!outcome.is_passed());
             result.runs.push(SearchedRun::new(&outcome));
             on_outcome(result.run_count, &outcome);
-            let harm = Harm::of(&outcome);
-            let is_worst = |worst: &Candidate| harm > Harm::of(&worst.outcome);
+            let severity = Severity::of(&outcome);
+            let is_worst = |worst: &Candidate| severity > Severity::of(&worst.outcome);
             if worst.as_ref().is_none_or(is_worst) {
                 worst = Some(Candidate { faults, outcome });
             }
@@ -241,22 +239,22 @@
         run(self.name, scenario, seed, options)
     }
 
-    /// Leaves out one fault after the other, as long as a rule is still violated.
+    /// Removes each fault without which a rule is still violated.
     fn reduce(
         &self,
         mut candidate: Candidate,
         options: &impl Fn() -> RunOptions,
     ) -> Result<Outcome, RunError> {
-        let mut position = 0;
+        let mut index = 0;
         while !candidate.outcome.is_passed()
-            && position < candidate.faults.len()
+            && index < candidate.faults.len()
             && candidate.faults.len() > 1
         {
             let mut faults = candidate.faults.clone();
-            faults.remove(position);
+            faults.remove(index);
             let outcome = self.run_with(&faults, candidate.outcome.seed, options())?;
             if outcome.is_passed() {
-                position += 1;
+                index += 1;
             } else {
                 candidate = Candidate { faults, outcome };
             }
--- a/crates/fault-injection/src/session_schedule.rs
+++ b/crates/fault-injection/src/session_schedule.rs
@@ -1,24 +1,24 @@
-//! Client sessions that are due later, and how many of them were served in time.
+//! The schedule of client sessions, and counts of the sessions that were served in time.
 
 use lupincrank_test_servers::client::ClientSession;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Orders sessions by their moment.
+/// Orders sessions by due time, then by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SessionKey {
     due_at: Instant,
     number: u64,
 }
 
-/// Sessions that were due in a second, and those of them that were served in time.
+/// The numbers of sessions that were due in one second and that were served in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u32, u32)")]
 pub struct ServiceCount {
-    /// Sessions that came or came back.
+    /// New and reconnecting sessions that were due.
     pub due: u32,
-    /// Those whose connection was established in time.
+    /// Sessions whose connection was established in time.
     pub served: u32,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub(crate) struct SessionSchedule {
     pending: BTreeMap<SessionKey, ClientSession>,
-    /// Sessions were scheduled since the deadline was set.
+    /// Whether sessions were scheduled since the deadline was set.
     is_deadline_stale: bool,
     service_by_second: BTreeMap<u64, ServiceCount>,
 }
@@ -48,18 +48,18 @@
         self.is_deadline_stale = true;
     }
 
-    /// Takes a session out that is due.
+    /// Removes and returns the next session that is due.
     pub(crate) fn take_due(&mut self, now: Instant) -> Option<ClientSession> {
         let entry = self.pending.first_entry()?;
         (entry.key().due_at <= now).then(|| entry.remove())
     }
 
-    /// When the next session is due.
+    /// The due time of the next session.
     pub(crate) fn next_due_at(&self) -> Option<Instant> {
         self.pending.keys().next().map(|key| key.due_at)
     }
 
-    /// Whether sessions were scheduled since the last call.
+    /// Returns true if sessions were scheduled since the last call.
     pub(crate) fn take_deadline_stale(&mut self) -> bool {
         std::mem::take(&mut self.is_deadline_stale)
     }
@@ -79,7 +79,7 @@
         &self.service_by_second
     }
 
-    /// The ratio of sessions that were served in time.
+    /// The fraction of due sessions that were served in time.
     pub(crate) fn service_ratio(&self) -> f64 {
         let due: u32 = self.service_by_second.values().map(|count| count.due).sum();
         let served: u32 = self
--- a/crates/fault-injection/src/stream_proxy/listener.rs
+++ b/crates/fault-injection/src/stream_proxy/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of a proxy, whose queue follows the condition of the link and the state of the target.
+//! The listener of a proxy: accepts, drops or refuses connections, depending on the state of the link and the target.
 
 use super::relayed_stream::RelayedStream;
 use crate::deadline::DeadlineKind;
@@ -13,16 +13,16 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Connections accepted in one turn of the loop.
+/// Limit of connections accepted in one iteration of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// Connections that may wait to be accepted.
+/// Limit of connections in the accept queue.
 const BACKLOG: i32 = 1024;
-/// Connections that fill the queue of a listener whose link is cut.
+/// Number of connections that fill the accept queue of a listener whose link is cut.
 const FILLER_COUNT: usize = 2;
-/// Pause before a listener that could not be changed is tried again.
+/// Delay before a failed update of a listener is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Listens for one party on behalf of another.
+/// Accepts connections from one party on behalf of another.
 struct ProxyListener {
     id: ComponentId,
     direction: LinkDirection,
@@ -30,13 +30,13 @@
     address: SocketAddr,
     /// None while the target is stopped.
     listener: Option<Registered<TcpListener>>,
-    /// Keeps the address while nobody listens.
+    /// Keeps the address bound while the listener is closed.
     reserved_socket: Option<Socket>,
-    /// Fill the queue while the link is cut.
+    /// Connections that fill the accept queue while the link is cut.
     fillers: Vec<Socket>,
 }
 
-/// Opens the way from one party to another that listens at `target`, and returns the address for the first one.
+/// Opens a proxy to the party that listens at `target`, and returns the address that the other party connects to.
 pub(crate) fn open(
     context: &mut HarnessContext,
     direction: LinkDirection,
@@ -75,7 +75,7 @@
 }
 
 impl ProxyListener {
-    /// Brings the listener in line with the link and the target.
+    /// Updates the listener to the state of the link and the target.
     fn update(&mut self, context: &mut HarnessContext) -> io::Result<()> {
         let is_cut = context.network.links.is_cut(self.direction);
         if self.is_target_stopped(context) && !is_cut {
--- a/crates/fault-injection/src/stream_proxy/mod.rs
+++ b/crates/fault-injection/src/stream_proxy/mod.rs
@@ -1,7 +1,7 @@
-//! The proxy of one link's streams, from one party to another: it passes, delays, throttles, holds back and resets.
+//! A proxy for the TCP streams of one link: relays, delays, throttles, holds back or resets them.
 //!
-//! While a link is cut its listener drops connection attempts, as a network does that carries nothing: its queue is one
-//! connection long and full. The listener of a server that is stopped refuses connections.
+//! While a link is cut, its listener drops connection attempts, as a network without connectivity does: its accept
+//! queue has room for one connection and is full. The listener of a stopped server refuses connections.
 
 mod listener;
 mod relayed_stream;
--- a/crates/fault-injection/src/stream_proxy/relayed_stream.rs
+++ b/crates/fault-injection/src/stream_proxy/relayed_stream.rs
@@ -1,4 +1,4 @@
-//! One stream through a proxy, with both directions relayed by the condition of the link.
+//! One stream through a proxy, with both directions relayed according to the condition of the link.
 
 use crate::deadline::DeadlineKind;
 use crate::harness::{Harness, HarnessContext};
@@ -12,20 +12,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Limit of the buffered bytes of each direction.
+/// Limit of buffered bytes in each direction.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Bytes after which no more are read in one turn of the loop.
+/// Bytes after which reading stops in one iteration of the event loop.
 const READ_BUDGET_BYTES: usize = 32 << 10;
-/// Bytes of one read.
+/// Maximum number of bytes of one read.
 const READ_CHUNK_BYTES: usize = 8 << 10;
-/// A first line that is longer is not looked at.
+/// Longer first lines are not parsed.
 const MAX_FIRST_LINE_BYTES: usize = 4 << 10;
 
-/// One end of the stream, with the relay of what is read from it.
+/// One end of the stream, with the relay of the bytes that are read from it.
 struct End {
     stream: Registered<TcpStream>,
     relay: StreamRelay,
-    /// The beginning of its first line, until that is complete.
+    /// The bytes received of the first line, until the line is complete.
     first_line: Option<Vec<u8>>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes the first line out as soon as it is complete.
+    /// Adds `bytes` to the first line, and returns the line once it is complete.
     fn take_first_line(&mut self, bytes: &[u8]) -> Option<String> {
         let mut first_line = self.first_line.take()?;
         first_line.extend_from_slice(bytes);
@@ -60,20 +60,20 @@
     target: End,
     is_connected: bool,
     dialed_at: Instant,
-    /// The request whose attempt it carries, while that is in flight.
+    /// The request whose attempt the stream carries, while the attempt is in flight.
     request: Option<u64>,
-    /// An end was reset, which the other end learns as soon as the link carries anything.
-    is_broken: bool,
+    /// One end failed while the link was cut; both ends are reset once the link is restored.
+    is_reset_pending: bool,
 }
 
-/// The request id of a first line.
+/// Parses the request ID of a node's first line.
 fn parse_request_id(line: &str) -> Option<u64> {
     let id = line.strip_prefix("OPEN ")?.get(..16)?;
     u64::from_str_radix(id, 16).ok()
 }
 
 impl RelayedStream {
-    /// Dials the target for an accepted stream, and registers both.
+    /// Dials the target for an accepted stream, and registers both streams.
     pub(super) fn open(
         context: &mut HarnessContext,
         direction: LinkDirection,
@@ -99,7 +99,7 @@
             is_connected: false,
             dialed_at,
             request: None,
-            is_broken: false,
+            is_reset_pending: false,
         };
         context.network.streams.insert(id, direction);
         context.register(id, Box::new(relayed));
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The direction of what is read from a side.
+    /// The direction of the bytes that are read from a side.
     fn direction_from(&self, side: Side) -> LinkDirection {
         match side {
             Side::Dialer => self.direction,
@@ -137,27 +137,27 @@
         self.close(context)
     }
 
-    /// The node has ended its attempt, or has had its answer.
+    /// Reports to the checker that the node has ended its attempt or has received the answer.
     fn end_attempt(&mut self, context: &mut HarnessContext) {
         if let Some(request) = self.request.take() {
             context.checker.on_attempt_ended(request);
         }
     }
 
-    /// One side was reset; the other learns that now, or when the link is no longer cut.
+    /// Handles the failure of one side: resets both sides, if the link is cut only once it is restored.
     fn on_side_failed(&mut self, context: &mut HarnessContext, side: Side) -> Lifecycle {
         if side == Side::Dialer {
             self.end_attempt(context);
         }
         if context.network.links.is_cut(self.direction) {
-            self.is_broken = true;
+            self.is_reset_pending = true;
             let _ = self.end_mut(side).stream.set_interest(Interest::NONE);
             return Lifecycle::Continue;
         }
         self.reset(context)
     }
 
-    /// Looks at what passes between a node and an upstream server: the first line of either.
+    /// Parses the first line of each side between a node and an upstream server, and reports attempts to the checker.
     fn inspect(&mut self, context: &mut HarnessContext, side: Side, bytes: &[u8]) {
         let (Party::Node(node), Party::UpstreamServer(server)) =
             (self.direction.from, self.direction.to)
@@ -184,7 +184,7 @@
     fn read(&mut self, context: &mut HarnessContext, side: Side) -> io::Result<()> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut read_bytes = 0;
-        while read_bytes < READ_BUDGET_BYTES && self.end_mut(side).relay.wants_input() {
+        while read_bytes < READ_BUDGET_BYTES && self.end_mut(side).relay.accepts_input() {
             let end = self.end_mut(side);
             let Some(length) = end.relay.read_chunk(&mut end.stream, &mut chunk)? else {
                 break;
@@ -200,7 +200,7 @@
         Ok(())
     }
 
-    /// When bytes that were read just now may go on.
+    /// Draws the due time of bytes that were just read, from the link's latency and throughput.
     fn draw_due_time(
         &mut self,
         context: &mut HarnessContext,
@@ -220,7 +220,7 @@
         due_at.max(previous + Duration::from_secs_f64(transfer_seconds))
     }
 
-    /// Writes what may go on by now; `Err` names the side that failed.
+    /// Writes the bytes from one side that are due; an `Err` contains the side that failed.
     fn write_due(&mut self, context: &mut HarnessContext, from: Side) -> Result<(), Side> {
         let direction = self.direction_from(from);
         if !self.is_connected || context.network.links.condition(direction).is_cut {
@@ -246,7 +246,7 @@
         let has_output = self.end_mut(side.other()).relay.has_due(now) && !is_cut;
         let is_connecting = side == Side::Target && !self.is_connected;
         let end = self.end_mut(side);
-        let readable = end.relay.wants_input();
+        let readable = end.relay.accepts_input();
         end.stream.set_interest(Interest {
             readable,
             writable: has_output || is_connecting,
@@ -254,7 +254,7 @@
     }
 
     fn advance(&mut self, context: &mut HarnessContext) -> Lifecycle {
-        if self.is_broken {
+        if self.is_reset_pending {
             if context.network.links.is_cut(self.direction) {
                 return Lifecycle::Continue;
             }
--- a/crates/fault-injection/src/stream_relay.rs
+++ b/crates/fault-injection/src/stream_relay.rs
@@ -1,4 +1,4 @@
-//! One direction of a relayed stream: what was read from its source, until it is due and written to its target.
+//! One direction of a relayed stream: buffers bytes of the source, and writes them to the target when they are due.
 
 use lupincrank_reactor::poll::Registered;
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The side whose stream is a component's socket of this number.
+    /// The side whose stream has this index among the component's sockets.
     pub fn of_socket(socket: usize) -> Side {
         if socket == Side::Dialer.socket() {
             Side::Dialer
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The number of its stream among the component's sockets.
+    /// The index of this side's stream among the component's sockets.
     pub fn socket(self) -> usize {
         match self {
             Side::Dialer => 0,
@@ -46,13 +46,13 @@
     }
 }
 
-/// Bytes that wait for their moment.
+/// Bytes that are written to the target at their due time.
 struct Chunk {
     due_at: Instant,
     bytes: Vec<u8>,
 }
 
-/// Buffers one direction of a stream, and keeps the order of its bytes.
+/// Buffers one direction of a stream, and preserves the order of the bytes.
 pub struct StreamRelay {
     chunks: VecDeque<Chunk>,
     buffered_bytes: usize,
@@ -63,7 +63,7 @@
 }
 
 impl StreamRelay {
-    /// A relay that reads no more once it buffers so many bytes.
+    /// Creates a relay that reads while it buffers less than `max_buffered_bytes`.
     pub fn new(max_buffered_bytes: usize) -> StreamRelay {
         StreamRelay {
             chunks: VecDeque::new(),
@@ -75,37 +75,37 @@
         }
     }
 
-    /// Whether its source is to be read.
-    pub fn wants_input(&self) -> bool {
+    /// Returns true if the source is open and the buffer has room.
+    pub fn accepts_input(&self) -> bool {
         !self.is_source_ended && self.buffered_bytes < self.max_buffered_bytes
     }
 
-    /// Whether bytes could be written by now.
+    /// Returns true if bytes are due at `now`.
     pub fn has_due(&self, now: Instant) -> bool {
         self.chunks.front().is_some_and(|chunk| chunk.due_at <= now)
     }
 
-    /// Whether the source has ended its stream.
+    /// Returns true if the source has closed its direction of the stream.
     pub fn is_source_ended(&self) -> bool {
         self.is_source_ended
     }
 
-    /// Whether the end of the source has been passed on.
+    /// Returns true if the close of the source has been passed on to the target.
     pub fn is_target_shut_down(&self) -> bool {
         self.is_target_shut_down
     }
 
-    /// When the last bytes that were pushed are due.
+    /// The due time of the most recently pushed bytes.
     pub fn last_due_at(&self) -> Option<Instant> {
         self.last_due_at
     }
 
-    /// Reads the next bytes of the source into `buffer`, and returns how many; none if there are none now, or the
-    /// source has ended.
+    /// Reads the next bytes of the source into `buffer`, and returns their number; `None` if none are available or the
+    /// source has closed.
     ///
     /// # Errors
     ///
-    /// Any error of the source.
+    /// If reading from the source fails.
     pub fn read_chunk(
         &mut self,
         source: &mut Registered<TcpStream>,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Buffers bytes until `due_at`, or until those before them are due.
+    /// Buffers bytes until `due_at`, or until the bytes before them are due, whichever is later.
     pub fn push(&mut self, bytes: &[u8], due_at: Instant) {
         let due_at = self.last_due_at.map_or(due_at, |last| due_at.max(last));
         self.last_due_at = Some(due_at);
@@ -136,12 +136,12 @@
         });
     }
 
-    /// Writes what is due, and passes the source's end on after the last byte. Returns when the next bytes are due, if
-    /// some are not due yet.
+    /// Writes the bytes that are due, and shuts the target down after the last byte of a closed source. Returns the due
+    /// time of the next bytes, if any.
     ///
     /// # Errors
     ///
-    /// Any error of the target.
+    /// If writing to the target or shutting it down fails.
     pub fn write_due(
         &mut self,
         target: &mut Registered<TcpStream>,
--- a/crates/scale/src/counting_proxy/counted_stream.rs
+++ b/crates/scale/src/counting_proxy/counted_stream.rs
@@ -144,7 +144,7 @@
         let mut chunk = [0; READ_CHUNK_BYTES];
         for _ in 0..MAX_READS_PER_TURN {
             let end = self.end_mut(side);
-            if !end.relay.wants_input() {
+            if !end.relay.accepts_input() {
                 break;
             }
             let Some(length) = end.relay.read_chunk(&mut end.stream, &mut chunk)? else {
@@ -181,7 +181,7 @@
         let has_output = self.end_mut(side.other()).relay.has_due(now);
         let is_connecting = side == Side::Target && !self.is_connected;
         let end = self.end_mut(side);
-        let readable = end.relay.wants_input();
+        let readable = end.relay.accepts_input();
         end.stream.set_interest(Interest {
             readable,
             writable: has_output || is_connecting,
--- a/crates/syscall-faults/src/filter.rs
+++ b/crates/syscall-faults/src/filter.rs
@@ -1,4 +1,4 @@
-//! The system-call filter that raises `SIGSYS` for the calls of a plan.
+//! The seccomp filter that raises `SIGSYS` for the system calls of a plan.
 
 use crate::raw_syscall;
 use std::io;
@@ -29,7 +29,8 @@
     }
 }
 
-/// The filter: calls of [`raw_syscall`] pass, other calls of these numbers raise the signal, the rest passes.
+/// Builds the filter: raises the signal for the given system calls unless [`raw_syscall`] makes them, and allows all
+/// other calls.
 fn program(calls: &[i64]) -> Vec<libc::sock_filter> {
     let exempt = raw_syscall::return_address();
     let count = calls.len();
@@ -48,17 +49,17 @@
     program
 }
 
-/// Installs the filter for this process and all of its threads to come.
+/// Installs the filter for the calling thread and all threads that are started from it later.
 ///
 /// # Errors
-/// Where the kernel refuses.
+/// If the kernel rejects the filter.
 pub(crate) fn install(calls: &[i64]) -> io::Result<()> {
     let mut instructions = program(calls);
     let filter = libc::sock_fprog {
         len: instructions.len() as u16,
         filter: instructions.as_mut_ptr(),
     };
-    // SAFETY: both calls read their arguments only, and `filter` points to instructions that live until the end.
+    // SAFETY: both calls only read their arguments, and `filter` points to instructions that outlive the calls.
     let results = unsafe {
         [
             libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0),
--- a/crates/syscall-faults/src/handler.rs
+++ b/crates/syscall-faults/src/handler.rs
@@ -1,4 +1,4 @@
-//! The signal handler that carries out, shortens or fails the calls that the filter hands to it.
+//! The signal handler that executes, shortens or fails the system calls that the filter traps.
 
 use crate::plan::{Fault, FaultPlan, Rule};
 use crate::raw_syscall::{self, Arguments};
@@ -7,12 +7,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Where in the arguments the length of a buffer stands.
+/// Index of the buffer length among the arguments of a call.
 const LENGTH_ARGUMENT: usize = 2;
-/// Where the flags of `openat` and the operation of `epoll_ctl` stand.
+/// Index of the flags of `openat`.
 const OPEN_FLAGS_ARGUMENT: usize = 2;
+/// Index of the operation of `epoll_ctl`.
 const EPOLL_OPERATION_ARGUMENT: usize = 1;
-/// The registers of a call's arguments.
+/// The registers that hold the arguments of a system call.
 const ARGUMENT_REGISTERS: [libc::c_int; 6] = [
     libc::REG_RDI,
     libc::REG_RSI,
@@ -22,17 +23,17 @@
     libc::REG_R9,
 ];
 
-/// What is to fail; set once at the start.
+/// The fault plan; set once at start-up.
 static PLAN: OnceLock<FaultPlan> = OnceLock::new();
-/// The state of the random numbers.
-static RANDOM: AtomicU64 = AtomicU64::new(0);
+/// The state of the random number generator.
+static RNG_STATE: AtomicU64 = AtomicU64::new(0);
 
-/// Installs handler and filter.
+/// Installs the signal handler and the filter.
 ///
 /// # Errors
-/// Where the kernel refuses either of them.
+/// If the kernel rejects the handler or the filter.
 pub(crate) fn install(plan: FaultPlan, seed: u64) -> io::Result<()> {
-    RANDOM.store(seed, Ordering::Relaxed);
+    RNG_STATE.store(seed, Ordering::Relaxed);
     let calls = plan.calls();
     PLAN.get_or_init(|| plan);
     if calls.is_empty() {
@@ -43,7 +44,7 @@
 }
 
 fn install_handler() -> io::Result<()> {
-    // SAFETY: an action of zeros is valid, and the handler calls nothing that is unsafe in a signal handler.
+    // SAFETY: an all-zero action is valid, and the handler calls only functions that are safe in a signal handler.
     let result = unsafe {
         let mut action: libc::sigaction = std::mem::zeroed();
         action.sa_sigaction = on_trapped_call as *const () as usize;
@@ -57,9 +58,9 @@
     }
 }
 
-/// A number below `bound`, by the `SplitMix64` generator.
+/// Draws a number below `bound` with the `SplitMix64` generator.
 fn random_below(bound: u64) -> u64 {
-    let state = RANDOM
+    let state = RNG_STATE
         .fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed)
         .wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -67,8 +68,9 @@
     (mixed ^ (mixed >> 31)) % bound.max(1)
 }
 
-/// Opening an existing file and changing or ending a registration do not fail: only what takes something new does.
-fn takes_something_new(number: i64, arguments: &Arguments) -> bool {
+/// Returns true if a rule may fail this call. Opening an existing file, and changing or removing a registration, can't
+/// fail; only creating a file or adding a registration can.
+fn can_fail(number: i64, arguments: &Arguments) -> bool {
     match number {
         libc::SYS_openat => arguments[OPEN_FLAGS_ARGUMENT] & i64::from(libc::O_CREAT) != 0,
         libc::SYS_epoll_ctl => {
@@ -78,9 +80,9 @@
     }
 }
 
-/// The rule that strikes this call.
-fn striking_rule(number: i64, arguments: &Arguments) -> Option<&'static Rule> {
-    if !switch::is_on() || !takes_something_new(number, arguments) {
+/// Draws the rule that applies to this call, if any.
+fn draw_rule(number: i64, arguments: &Arguments) -> Option<&'static Rule> {
+    if !switch::is_on() || !can_fail(number, arguments) {
         return None;
     }
     let rules = &PLAN.get()?.rules;
@@ -89,13 +91,13 @@
         .find(|rule| rule.calls.contains(&number) && random_below(100) < u64::from(rule.percent))
 }
 
-/// Carries the call out as the plan wants it; the result as the kernel gives it.
+/// Executes the call with the fault of its rule, if any; the result is in the kernel's convention.
 fn perform(number: i64, mut arguments: Arguments) -> i64 {
-    let fault = striking_rule(number, &arguments).map(|rule| rule.fault);
+    let fault = draw_rule(number, &arguments).map(|rule| rule.fault);
     match fault {
         Some(Fault::Errno(errno)) if number == libc::SYS_connect && errno == libc::EINTR => {
-            // An interrupted connect goes on in the background.
-            // SAFETY: it is the program's own call with its own arguments.
+            // An interrupted `connect` continues asynchronously in the kernel, so it is made before it fails.
+            // SAFETY: the program made this call with these arguments.
             unsafe { raw_syscall::call(number, &arguments) };
             return -i64::from(errno);
         }
@@ -108,7 +110,7 @@
         }
         Some(Fault::Short) | None => {}
     }
-    // SAFETY: it is the program's own call; a shortened buffer lies within the program's.
+    // SAFETY: the program made this call; a shortened buffer lies within the program's buffer.
     unsafe { raw_syscall::call(number, &arguments) }
 }
 
--- a/crates/syscall-faults/src/lib.rs
+++ b/crates/syscall-faults/src/lib.rs
@@ -1,10 +1,10 @@
-//! Makes system calls of a process fail as Linux documents it, for tests only.
+//! Makes system calls of a process fail in ways that Linux documents, for tests only.
 //!
 //! A test starts a program with this library in `LD_PRELOAD` and a plan in [`PLAN_VARIABLE`], such as
-//! `recv=EINTR:20,send=SHORT:50,clock=3600`. At its start the library installs a system-call filter that hands the calls of
-//! the plan to a signal handler, which carries them out, or shortens or fails them at random. Nothing happens without
-//! the variable. It works on `x86_64` Linux.
-#![allow(unsafe_code)] // System calls, a signal handler and a system-call filter have no safe interface.
+//! `recv=EINTR:20,send=SHORT:50,clock=3600`. At start-up the library installs a seccomp filter that traps the calls of
+//! the plan. A signal handler executes each trapped call, or shortens or fails it at random. Without the variable the
+//! library does nothing. It supports `x86_64` Linux only.
+#![allow(unsafe_code)] // System calls, signal handlers and seccomp filters have no safe interface.
 
 mod filter;
 mod handler;
@@ -19,15 +19,15 @@
 
 /// The environment variable with the plan; see [`FaultPlan`].
 pub const PLAN_VARIABLE: &str = "SYSCALL_FAULTS";
-/// The environment variable with the path of a file: calls fail only while it exists. Without the variable they always
-/// do.
+/// The environment variable with the path of the switch file: faults are active only while the file exists. Without the
+/// variable they are always active.
 pub const SWITCH_VARIABLE: &str = "SYSCALL_FAULTS_SWITCH";
-/// The environment variable with the seed of the random choices.
+/// The environment variable with the seed of the random number generator.
 pub const SEED_VARIABLE: &str = "SYSCALL_FAULTS_SEED";
 /// The file name of the library.
 pub const LIBRARY_FILE: &str = "liblupincrank_syscall_faults.so";
 
-/// Run by the dynamic linker before `main`.
+/// Called by the dynamic linker before `main`.
 #[used]
 #[link_section = ".init_array"]
 static INITIALIZER: extern "C" fn() = initialize;
--- a/crates/syscall-faults/src/plan.rs
+++ b/crates/syscall-faults/src/plan.rs
@@ -1,64 +1,64 @@
-//! What is to fail, as a test writes it down.
+//! The fault plan, and its text format for tests.
 
 use thiserror::Error;
 
-/// A percentage that stands for every call.
-const EVERY_CALL: u32 = 100;
-/// The name under which a plan sets the wall clock.
+/// Greatest percentage of a rule.
+const MAX_PERCENT: u32 = 100;
+/// The entry name that sets the offset of the wall clock.
 const CLOCK: &str = "clock";
 
-/// Why a plan can't be read.
+/// An error in the text of a plan.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum PlanError {
     /// An entry is not of the form `CALL=FAULT:PERCENT` or `clock=SECONDS`.
-    #[error("{0:?} is no CALL=FAULT:PERCENT")]
+    #[error("{0:?} is not of the form CALL=FAULT:PERCENT or clock=SECONDS")]
     Form(String),
     /// No group of calls has this name.
-    #[error("no calls are named {0:?}")]
+    #[error("unknown system call group {0:?}")]
     Call(String),
     /// No fault has this name.
-    #[error("no fault is named {0:?}")]
+    #[error("unknown fault {0:?}")]
     Fault(String),
-    /// A percentage or a number of seconds can't be read.
-    #[error("{0:?} is no number that is allowed here")]
+    /// A percentage or a number of seconds is invalid.
+    #[error("{0:?} is not a valid percentage or number of seconds")]
     Number(String),
 }
 
-/// How a call fails.
+/// The fault of a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is not carried out and returns this error.
+    /// The call returns this error and, except for an interrupted `connect`, is not executed.
     Errno(i32),
-    /// It reads or writes only a part of what it could.
+    /// The call is made with a shorter buffer, so that it reads or writes less.
     Short,
 }
 
-/// Calls of one group fail in one way.
+/// A fault for a group of system calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// The numbers of the system calls.
     pub calls: &'static [i64],
-    /// What happens to them.
+    /// The fault of these calls.
     pub fault: Fault,
-    /// How many of a hundred calls fail.
+    /// Percentage of the calls that fail.
     pub percent: u32,
 }
 
-/// All that is to fail: entries `CALL=FAULT:PERCENT` with commas between them, and `clock=SECONDS` for a wall clock that is
-/// ahead by so much.
+/// The faults of a process: comma-separated entries `CALL=FAULT:PERCENT`, and `clock=SECONDS` for a wall clock that is
+/// ahead by this number of seconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// The rules; the first one that strikes counts.
+    /// The rules, tried in order; the first one that applies to a call determines its fault.
     pub rules: Vec<Rule>,
-    /// How far the wall clock is ahead.
+    /// Seconds by which the wall clock is ahead; negative if it is behind.
     pub clock_offset_seconds: i64,
 }
 
 impl FaultPlan {
-    /// Reads a plan.
+    /// Parses a plan.
     ///
     /// # Errors
-    /// Names the first entry that is not understood.
+    /// If an entry is invalid; the error contains the first one, or its invalid part.
     pub fn parse(text: &str) -> Result<FaultPlan, PlanError> {
         let mut plan = FaultPlan::default();
         for entry in text.split(',').filter(|entry| !entry.is_empty()) {
@@ -74,7 +74,7 @@
         Ok(plan)
     }
 
-    /// The numbers of all calls that may fail.
+    /// The numbers of all system calls that may fail.
     pub fn calls(&self) -> Vec<i64> {
         let mut calls: Vec<i64> = self
             .rules
@@ -98,17 +98,17 @@
         .split_once(':')
         .ok_or_else(|| PlanError::Form(value.to_string()))?;
     let percent: u32 = parse_number(percent)?;
-    if percent > EVERY_CALL {
+    if percent > MAX_PERCENT {
         return Err(PlanError::Number(percent.to_string()));
     }
     Ok(Rule {
-        calls: calls_of(name)?,
+        calls: parse_calls(name)?,
         fault: parse_fault(fault)?,
         percent,
     })
 }
 
-fn calls_of(name: &str) -> Result<&'static [i64], PlanError> {
+fn parse_calls(name: &str) -> Result<&'static [i64], PlanError> {
     Ok(match name {
         "recv" => &[libc::SYS_recvfrom, libc::SYS_recvmsg],
         "send" => &[libc::SYS_sendto, libc::SYS_sendmsg],
--- a/crates/syscall-faults/src/plan/tests.rs
+++ b/crates/syscall-faults/src/plan/tests.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 
 #[test]
-fn a_plan_has_rules_and_a_clock() {
+fn a_plan_contains_rules_and_a_clock_offset() {
     let plan = FaultPlan::parse("recv=EINTR:20,send=SHORT:50,clock=-3600").unwrap();
     assert_eq!(plan.clock_offset_seconds, -3600);
     assert_eq!(plan.rules.len(), 2);
@@ -17,8 +17,8 @@
 #[case::no_percent("recv=EINTR", PlanError::Form("EINTR".into()))]
 #[case::unknown_call("reap=EINTR:1", PlanError::Call("reap".into()))]
 #[case::unknown_fault("recv=EWHAT:1", PlanError::Fault("EWHAT".into()))]
-#[case::too_often("recv=EINTR:101", PlanError::Number("101".into()))]
-#[case::no_seconds("clock=soon", PlanError::Number("soon".into()))]
-fn a_plan_that_is_not_understood_is_an_error(#[case] text: &str, #[case] error: PlanError) {
+#[case::percent_above_100("recv=EINTR:101", PlanError::Number("101".into()))]
+#[case::invalid_seconds("clock=soon", PlanError::Number("soon".into()))]
+fn an_invalid_plan_is_an_error(#[case] text: &str, #[case] error: PlanError) {
     assert_eq!(FaultPlan::parse(text), Err(error));
 }
--- a/crates/syscall-faults/src/raw_syscall.rs
+++ b/crates/syscall-faults/src/raw_syscall.rs
@@ -1,8 +1,8 @@
-//! System calls from one known instruction, which the filter lets pass.
+//! System calls from one known instruction, which the filter allows.
 
 use std::arch::global_asm;
 
-/// The arguments of a system call, in their order.
+/// The arguments of a system call, in order.
 pub(crate) type Arguments = [i64; 6];
 
 global_asm!(
@@ -29,15 +29,15 @@
     fn syscall_faults_raw_return();
 }
 
-/// Carries a system call out; a negative result is an error's number.
+/// Makes a system call; a negative result is a negated error number.
 ///
 /// # Safety
-/// As the system call's.
+/// The requirements of the system call itself.
 pub(crate) unsafe fn call(number: i64, arguments: &Arguments) -> i64 {
     syscall_faults_raw(number, arguments.as_ptr())
 }
 
-/// Where the program goes on after a call of [`call`], as the filter sees it.
+/// The address after the instruction of [`call`], by which the filter recognizes its system calls.
 pub(crate) fn return_address() -> u64 {
     syscall_faults_raw_return as *const () as u64
 }
--- a/crates/syscall-faults/src/switch.rs
+++ b/crates/syscall-faults/src/switch.rs
@@ -1,32 +1,32 @@
-//! Whether calls fail now: a test switches that on and off with a file.
+//! The switch of the faults: a test creates or removes a file to turn them on or off.
 
 use crate::raw_syscall;
 use std::ffi::CString;
 use std::io;
 use std::sync::OnceLock;
 
-/// The path of the file; `None` where calls always fail. Set once at the start.
-static SWITCH: OnceLock<Option<CString>> = OnceLock::new();
+/// The path of the switch file; `None` if faults are always active. Set once at start-up.
+static SWITCH_PATH: OnceLock<Option<CString>> = OnceLock::new();
 
-/// Lets calls fail from now on, while the file exists.
+/// Activates faults: while the file at `path` exists, or always if there is no path.
 ///
 /// # Errors
-/// Where the path holds a zero byte.
+/// If the path contains a zero byte.
 pub(crate) fn install(path: Option<String>) -> io::Result<()> {
     let path = path.map(CString::new).transpose()?;
-    SWITCH.get_or_init(|| path);
+    SWITCH_PATH.get_or_init(|| path);
     Ok(())
 }
 
-/// Whether calls fail now.
+/// Returns true if faults are active.
 pub(crate) fn is_on() -> bool {
-    let Some(switch) = SWITCH.get() else {
+    let Some(switch_path) = SWITCH_PATH.get() else {
         return false;
     };
-    let Some(path) = switch else {
+    let Some(path) = switch_path else {
         return true;
     };
     let arguments = [path.as_ptr() as i64, i64::from(libc::F_OK), 0, 0, 0, 0];
-    // SAFETY: the path is a string that ends in zero and lives as long as the process.
+    // SAFETY: the path is a zero-terminated string that is valid until the process ends.
     unsafe { raw_syscall::call(libc::SYS_access, &arguments) == 0 }
 }
--- a/crates/syscall-faults/src/wall_clock.rs
+++ b/crates/syscall-faults/src/wall_clock.rs
@@ -1,21 +1,21 @@
-//! A wall clock that is ahead or behind. The C library's function is replaced, for no system call is made where the kernel
-//! maps its clock into the process.
+//! A wall clock that is ahead or behind. Replaces `clock_gettime` of the C library, which makes no system call if the
+//! kernel maps its clock into the process (vDSO).
 
 use crate::{raw_syscall, switch};
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// How far the wall clock is ahead, in seconds.
+/// Seconds by which the wall clock is ahead.
 static OFFSET_SECONDS: AtomicI64 = AtomicI64::new(0);
 
-/// Sets how far the wall clock is ahead while calls fail.
+/// Sets the offset of the wall clock while faults are active.
 pub(crate) fn set_offset(seconds: i64) {
     OFFSET_SECONDS.store(seconds, Ordering::Relaxed);
 }
 
-/// Takes the place of the C library's function.
+/// Replaces `clock_gettime` of the C library.
 ///
 /// # Safety
-/// As the C library's: `time` points to a `timespec`.
+/// As for the function of the C library: `time` must point to a `timespec`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(
     clock: libc::clockid_t,
--- a/crates/tidy/src/imports.rs
+++ b/crates/tidy/src/imports.rs
@@ -1,19 +1,19 @@
-//! Imports among the modules of one crate, and the cycles in them.
+//! The import graph of the modules of one crate, and its cycles.
 //!
-//! A cycle of imports means that no module of it can be understood, tested or moved without the others.
+//! A module in an import cycle can't be understood, tested or moved without the other modules of the cycle.
 
 use crate::sources::SourceFile;
 use regex::Regex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which files of a crate use which others, by their positions in the list of files.
+/// The uses among the files of a crate, by the indexes of the files in the list of files.
 #[derive(Debug, Default)]
 pub struct ImportGraph {
     edges: BTreeMap<usize, BTreeSet<usize>>,
 }
 
-/// One path that a file names: where it starts from, and the names that follow.
-struct NamedPath {
+/// A path in the code of a file: its start, and the names that follow.
+struct ImportPath {
     anchor: Anchor,
     names: Vec<String>,
 }
@@ -25,32 +25,32 @@
 }
 
 impl ImportGraph {
-    /// The graph of a crate's files: an edge for each path that begins with `crate::` or `super::` and leads to another
-    /// file.
+    /// Builds the graph of a crate's files: an edge for each path that begins with `crate::` or `super::` and refers to
+    /// another file.
     ///
     /// # Panics
-    /// If the pattern for paths is not a valid regular expression.
+    /// If the pattern of paths is not a valid regular expression.
     pub fn of(files: &[SourceFile]) -> ImportGraph {
-        let path_pattern =
-            Regex::new(r"\b(crate|super)((?:::\w+)*)(?:::\{([^;]*?)\};)?").expect("a pattern");
+        let path_pattern = Regex::new(r"\b(crate|super)((?:::\w+)*)(?:::\{([^;]*?)\};)?")
+            .expect("valid regular expression");
         let modules: BTreeMap<&[String], usize> = files
             .iter()
             .enumerate()
-            .map(|(position, file)| (file.module.as_slice(), position))
+            .map(|(index, file)| (file.module.as_slice(), index))
             .collect();
         let mut graph = ImportGraph::default();
-        for (position, file) in files.iter().enumerate() {
-            let targets = named_paths(&path_pattern, &file.code)
+        for (index, file) in files.iter().enumerate() {
+            let targets = import_paths(&path_pattern, &file.code)
                 .into_iter()
                 .filter_map(|path| resolve(&modules, file, &path))
-                .filter(|target| *target != position)
+                .filter(|target| *target != index)
                 .collect();
-            graph.edges.insert(position, targets);
+            graph.edges.insert(index, targets);
         }
         graph
     }
 
-    /// Groups of two or more files that reach each other, each sorted.
+    /// Sorted groups of two or more files that can reach each other.
     pub fn cycles(&self) -> Vec<Vec<usize>> {
         let reachable: BTreeMap<usize, BTreeSet<usize>> = self
             .edges
@@ -71,14 +71,14 @@
         cycles.into_iter().collect()
     }
 
-    /// Every file that can be reached over at least one edge.
+    /// All files that can be reached over one or more edges.
     fn reachable_from(&self, start: usize) -> BTreeSet<usize> {
         let mut reached = BTreeSet::new();
-        let mut open = vec![start];
-        while let Some(position) = open.pop() {
-            for target in &self.edges[&position] {
+        let mut pending = vec![start];
+        while let Some(index) = pending.pop() {
+            for target in &self.edges[&index] {
                 if reached.insert(*target) {
-                    open.push(*target);
+                    pending.push(*target);
                 }
             }
         }
@@ -86,20 +86,20 @@
     }
 }
 
-fn named_paths(pattern: &Regex, code: &str) -> Vec<NamedPath> {
+fn import_paths(pattern: &Regex, code: &str) -> Vec<ImportPath> {
     let mut paths = Vec::new();
-    for found in pattern.captures_iter(code) {
-        let anchor = match &found[1] {
+    for captures in pattern.captures_iter(code) {
+        let anchor = match &captures[1] {
             "crate" => Anchor::Crate,
             _ => Anchor::Super,
         };
-        let prefix: Vec<String> = split_path(&found[2]);
-        for item in found.get(3).map_or("", |list| list.as_str()).split(',') {
+        let prefix: Vec<String> = split_path(&captures[2]);
+        for item in captures.get(3).map_or("", |list| list.as_str()).split(',') {
             let mut names = prefix.clone();
             names.extend(split_path(item));
-            paths.push(NamedPath { anchor, names });
+            paths.push(ImportPath { anchor, names });
         }
-        paths.push(NamedPath {
+        paths.push(ImportPath {
             anchor,
             names: prefix,
         });
@@ -115,11 +115,11 @@
         .collect()
 }
 
-/// The file that a path leads to: the longest prefix of it that is a module.
+/// The file that a path refers to: the longest prefix of the path that is a module.
 fn resolve(
     modules: &BTreeMap<&[String], usize>,
     file: &SourceFile,
-    path: &NamedPath,
+    path: &ImportPath,
 ) -> Option<usize> {
     let mut full: Vec<String> = match path.anchor {
         Anchor::Crate => Vec::new(),
@@ -127,8 +127,8 @@
     };
     full.extend(path.names.iter().cloned());
     while !full.is_empty() {
-        if let Some(position) = modules.get(full.as_slice()) {
-            return Some(*position);
+        if let Some(index) = modules.get(full.as_slice()) {
+            return Some(*index);
         }
         full.pop();
     }
--- a/crates/tidy/src/lib.rs
+++ b/crates/tidy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checks of the repository itself, run as tests: what a compiler and a linter do not see.
+//! Checks of the repository itself, run as tests, for rules that the compiler and the linter do not check.
 //!
 //! [`sources`] reads the source files, [`imports`] finds cycles of imports among the modules of a crate, [`log_lines`]
-//! lists the log lines of a crate, and [`policy`] measures the files that hold the placement policy.
+//! lists the log lines of a crate, and [`policy`] finds the files that contain the placement policy.
 
 #![forbid(unsafe_code)]
 
--- a/crates/tidy/src/log_lines.rs
+++ b/crates/tidy/src/log_lines.rs
@@ -1,13 +1,13 @@
-//! The log lines that a crate writes, and those that a page for operators lists.
+//! The log lines that a crate writes, and the log lines that a page for operators documents.
 
 use crate::sources::SourceFile;
 use regex::Regex;
 use std::collections::BTreeSet;
 
-/// A log line as operators know it.
+/// A log line as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogLine {
-    /// The message, which is the same text each time.
+    /// The message, a constant text.
     pub message: String,
     /// `debug`, `info`, `warn`, `error` or `crit`.
     pub level: String,
@@ -15,39 +15,39 @@
     pub keys: BTreeSet<String>,
 }
 
-/// The log lines that these files write with the macros of slog.
+/// Finds the log lines that the files write with the macros of slog.
 ///
 /// # Panics
 /// If a pattern is not a valid regular expression.
 pub fn written_log_lines(files: &[SourceFile]) -> BTreeSet<LogLine> {
     let statement =
         Regex::new(r#"(?s)\b(debug|info|warn|error|crit)!\(\s*[\w.&()]+,\s*"([^"]+)"(.*?)\)\s*;"#)
-            .expect("a pattern");
-    let key = Regex::new(r#""([^"]+)"\s*=>"#).expect("a pattern");
+            .expect("valid regular expression");
+    let key = Regex::new(r#""([^"]+)"\s*=>"#).expect("valid regular expression");
     files
         .iter()
         .flat_map(|file| statement.captures_iter(&file.code))
-        .map(|found| LogLine {
-            level: found[1].to_string(),
-            message: found[2].to_string(),
-            keys: all_captures(&key, &found[3]),
+        .map(|captures| LogLine {
+            level: captures[1].to_string(),
+            message: captures[2].to_string(),
+            keys: all_captures(&key, &captures[3]),
         })
         .collect()
 }
 
-/// The log lines that the tables of a Markdown page list: message, level and keys are the first three cells of a row.
+/// Finds the log lines in the tables of a Markdown page: the first three cells of a row are message, level and keys.
 ///
 /// # Panics
 /// If a pattern is not a valid regular expression.
 pub fn documented_log_lines(page: &str) -> BTreeSet<LogLine> {
     let row = Regex::new(r"(?m)^\| `([^`]+)` \| (debug|info|warn|error|crit) \| ([^|]*) \|")
-        .expect("a pattern");
-    let code_span = Regex::new(r"`([^`]+)`").expect("a pattern");
+        .expect("valid regular expression");
+    let code_span = Regex::new(r"`([^`]+)`").expect("valid regular expression");
     row.captures_iter(page)
-        .map(|found| LogLine {
-            message: found[1].to_string(),
-            level: found[2].to_string(),
-            keys: all_captures(&code_span, &found[3]),
+        .map(|captures| LogLine {
+            message: captures[1].to_string(),
+            level: captures[2].to_string(),
+            keys: all_captures(&code_span, &captures[3]),
         })
         .collect()
 }
@@ -55,6 +55,6 @@
 fn all_captures(pattern: &Regex, text: &str) -> BTreeSet<String> {
     pattern
         .captures_iter(text)
-        .map(|found| found[1].to_string())
+        .map(|captures| captures[1].to_string())
         .collect()
 }
--- a/crates/tidy/src/sources.rs
+++ b/crates/tidy/src/sources.rs
@@ -7,11 +7,11 @@
 /// One Rust source file of a crate.
 #[derive(Clone, Debug)]
 pub struct SourceFile {
-    /// Where the file is.
+    /// The path of the file.
     pub path: PathBuf,
     /// The module path within its crate; empty for the root of the crate.
     pub module: Vec<String>,
-    /// The text without line comments.
+    /// The source text without line comments.
     pub code: String,
 }
 
@@ -20,10 +20,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The folders of all crates of the workspace, in order of their names.
+/// The folders of all crates of the workspace, sorted by name.
 ///
 /// # Errors
-/// Where the folder `crates` can not be read.
+/// If the folder `crates` can't be read.
 pub fn crate_folders() -> io::Result<Vec<PathBuf>> {
     let mut folders = Vec::new();
     for entry in fs::read_dir(workspace_root().join("crates"))? {
@@ -36,10 +36,10 @@
     Ok(folders)
 }
 
-/// The source files of one crate, tests left out, in order of their paths.
+/// The source files of one crate without tests, sorted by path.
 ///
 /// # Errors
-/// Where a folder or file below `src` can not be read.
+/// If a folder or file below `src` can't be read.
 pub fn source_files(crate_folder: &Path) -> io::Result<Vec<SourceFile>> {
     let source_root = crate_folder.join("src");
     let mut paths = Vec::new();
@@ -75,7 +75,7 @@
     let mut module: Vec<String> = relative
         .with_extension("")
         .iter()
-        .map(|part| part.to_string_lossy().into_owned())
+        .map(|name| name.to_string_lossy().into_owned())
         .collect();
     let is_module_root = module
         .last()
@@ -90,8 +90,8 @@
     })
 }
 
-/// The text without line comments; a `//` within a string literal ends the line too, which hides nothing that is looked
-/// for here but what follows it in that line.
+/// Returns the text without line comments. A `//` inside a string literal truncates its line, too, which hides only the
+/// code after it in that line from the checks.
 fn without_comments(text: &str) -> String {
     let lines = text.lines().map(|line| match line.find("//") {
         Some(start) => &line[..start],
--- a/crates/tidy/tests/import_cycles.rs
+++ b/crates/tidy/tests/import_cycles.rs
@@ -1,4 +1,4 @@
-//! Modules of a crate import each other in one direction only.
+//! Checks that the modules of a crate import each other in one direction only.
 
 use lupincrank_tidy::imports::ImportGraph;
 use lupincrank_tidy::sources::{crate_folders, source_files};
@@ -11,14 +11,10 @@
         for cycle in ImportGraph::of(&files).cycles() {
             let paths: Vec<_> = cycle
                 .into_iter()
-                .map(|position| files[position].path.display().to_string())
+                .map(|index| files[index].path.display().to_string())
                 .collect();
             cycles.push(paths.join(" <-> "));
         }
     }
-    assert!(
-        cycles.is_empty(),
-        "cycles of imports:\n{}",
-        cycles.join("\n")
-    );
+    assert!(cycles.is_empty(), "import cycles:\n{}", cycles.join("\n"));
 }
--- a/crates/tidy/tests/log_lines.rs
+++ b/crates/tidy/tests/log_lines.rs
@@ -1,11 +1,11 @@
-//! Operators find every log line of the node in their page, with its level and keys, and none that is not written.
+//! Checks that the operators' page lists every log line of the node with its level and keys, and no other log lines.
 
 use lupincrank_tidy::log_lines::{documented_log_lines, written_log_lines, LogLine};
 use lupincrank_tidy::sources::{source_files, workspace_root};
 use std::collections::BTreeSet;
 use std::fs;
 
-/// Fewer log lines than this in the code would mean that the check no longer reads them.
+/// Fewer log lines than this in the code would mean that the check does not recognize them.
 const MIN_LOG_LINES: usize = 50;
 
 #[test]
--- a/crates/tidy/tests/policy_modules.rs
+++ b/crates/tidy/tests/policy_modules.rs
@@ -1,11 +1,11 @@
-//! Decisions on requests stand in the modules that the deploy file names as the policy, and nowhere else in placement.
+//! Checks that, in placement, only the modules that the deploy file lists as the policy decide on requests.
 
 use lupincrank_tidy::policy::{listed_policy_files, modules_in_policy_folder, modules_that_decide};
 
 #[test]
 fn the_deploy_file_names_each_module_of_the_policy() {
     let listed = listed_policy_files();
-    assert!(!listed.is_empty(), "the deploy file names no policy file");
+    assert!(!listed.is_empty(), "the deploy file lists no policy file");
     assert_eq!(listed, modules_in_policy_folder());
 }
 
@@ -17,6 +17,6 @@
     let elsewhere: Vec<_> = deciding.difference(&listed).collect();
     assert!(
         elsewhere.is_empty(),
-        "decisions on requests in {elsewhere:?}"
+        "modules outside the policy decide on requests: {elsewhere:?}"
     );
 }
