--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -143,7 +143,7 @@
 
 impl PlacementDriver {
     /// Handles the number in a `LOAD` line of an established connection: see
-    /// [`LoadReports`](crate::load_report::LoadReports).
+    /// [`LoadReportClassifier`](crate::load_report::LoadReportClassifier).
     pub(crate) fn on_load_report(&mut self, request: RequestId, value: f64) {
         let slow_delay = self.slow_delay();
         let Some(active) = self.requests.get_mut(&request) else {
--- a/crates/node/src/placement_driver/request.rs
+++ b/crates/node/src/placement_driver/request.rs
@@ -1,7 +1,7 @@
 //! A request from its first line to the end of its connection.
 
 use super::command::Owner;
-use crate::load_report::LoadReports;
+use crate::load_report::LoadReportClassifier;
 use lupincrank_placement::{RequestId, RequestInfo, ServerId};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -52,7 +52,7 @@
     /// When each unanswered line of the client was forwarded, oldest first.
     unanswered_lines: VecDeque<Instant>,
     /// Distinguishes loads from delays in the numbers that the server reports.
-    pub(super) load_reports: LoadReports,
+    pub(super) load_reports: LoadReportClassifier,
 }
 
 /// The state that another process of this node needs to continue an established connection.
@@ -81,7 +81,7 @@
             info,
             load: None,
             unanswered_lines: VecDeque::new(),
-            load_reports: LoadReports::default(),
+            load_reports: LoadReportClassifier::default(),
         }
     }
 
