--- a/crates/fault-injection/src/merged_log.rs
+++ b/crates/fault-injection/src/merged_log.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Number of last lines of each log in the error of a failed run.
+/// Number of lines from the end of each log in the error of a failed run.
 const TAIL_LINE_COUNT: usize = 6;
 /// Position of the time of day in a line of a node's log.
 const TIME_COLUMNS: Range<usize> = 7..19;
--- a/crates/fault-injection/src/search.rs
+++ b/crates/fault-injection/src/search.rs
@@ -55,7 +55,7 @@
     /// Number of runs with a violation.
     #[serde(rename = "broken")]
     pub failed_count: usize,
-    /// The most severe run; after a violation, without the faults that violations do not need.
+    /// The most severe run, reduced by the faults that are not needed for a violation.
     pub worst: Option<Outcome>,
     /// All runs.
     #[serde(rename = "trials")]
--- a/crates/fault-injection/src/stream_proxy/relayed_stream.rs
+++ b/crates/fault-injection/src/stream_proxy/relayed_stream.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Handles the failure of one side: resets both sides, if the link is cut only once it is restored.
+    /// Handles the failure of one side: resets both sides, but not before a cut link is restored.
     fn on_side_failed(&mut self, context: &mut HarnessContext, side: Side) -> Lifecycle {
         if side == Side::Dialer {
             self.end_attempt(context);
--- a/crates/syscall-faults/src/handler.rs
+++ b/crates/syscall-faults/src/handler.rs
@@ -68,8 +68,8 @@
     (mixed ^ (mixed >> 31)) % bound.max(1)
 }
 
-/// Returns true if a rule may fail this call. Opening an existing file, and changing or removing a registration, can't
-/// fail; only creating a file or adding a registration can.
+/// Returns true if a rule may fail this call. Calls that create nothing never fail: opening an existing file, and
+/// changing or removing a registration.
 fn can_fail(number: i64, arguments: &Arguments) -> bool {
     match number {
         libc::SYS_openat => arguments[OPEN_FLAGS_ARGUMENT] & i64::from(libc::O_CREAT) != 0,
--- a/crates/tidy/src/policy.rs
+++ b/crates/tidy/src/policy.rs
@@ -16,7 +16,7 @@
 /// The files that `deploy/balancer.toml` lists under `policy`, relative to the root of the workspace.
 ///
 /// # Panics
-/// If the deploy file can't be read or parsed, because this is a check of the repository.
+/// If the deploy file can't be read or parsed: a check of the repository fails by panicking.
 pub fn listed_policy_files() -> BTreeSet<PathBuf> {
     let root = workspace_root();
     let deploy =
@@ -37,7 +37,7 @@
 /// The placement modules that send a request to a server, reject it or fail it, without their unit tests.
 ///
 /// # Panics
-/// If a file can't be read, because this is a check of the repository.
+/// If a file can't be read: a check of the repository fails by panicking.
 pub fn modules_that_decide() -> BTreeSet<PathBuf> {
     let decision = Regex::new(DECISION_PATTERN).expect("valid regular expression");
     let root = workspace_root();
