--- a/crates/placement/src/api/event.rs
+++ b/crates/placement/src/api/event.rs
@@ -65,7 +65,7 @@
         /// The load: seconds of CPU time on a standard core per second.
         load: Duration,
     },
-    /// The latency of messages on an established connection's server was measured.
+    /// The latency of messages at the server of an established connection was measured.
     DelayObserved {
         /// The request that established the connection.
         request: RequestId,
@@ -97,12 +97,13 @@
         previous_class_indices: Vec<Option<usize>>,
     },
     /// The node's lease on the fleet's slow-start budget changed. With `None` the fleet does not divide that budget,
-    /// and the node takes an even share by [`Settings::node_count`].
+    /// and the node uses an even share by [`Settings::node_count`].
     LeaseChanged(Option<SlowStartLease>),
     /// The state that the process replaced by this one had learned about its servers.
     LearnedState(Vec<LearnedServer>),
     /// The set of servers that an administrator drains, whatever the endpoint list reports: they get no new
-    /// connections, and their established ones are migrated. A server that is released counts as just started.
+    /// connections, and their established ones are migrated. A server that is released counts as just started, unless
+    /// the endpoint list reports a start after the drain.
     AdminDrain(BTreeSet<ServerId>),
     /// A timer of [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired(Timer),
--- a/crates/placement/src/api/settings.rs
+++ b/crates/placement/src/api/settings.rs
@@ -52,7 +52,7 @@
 /// [`Event::SettingsChanged`](crate::Event::SettingsChanged).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Nodes of this tier, this one included.
+    /// The number of balancer nodes, this one included.
     pub node_count: u32,
     /// Request classes; [`RequestInfo::class`](crate::RequestInfo::class) is an index into them.
     pub classes: Vec<Class>,
@@ -64,7 +64,8 @@
     pub gossip_allowed: bool,
     /// Whether servers may be health-checked ([`Action::CheckHealth`](crate::Action::CheckHealth)).
     pub health_checks_allowed: bool,
-    /// Points taken off the deployment's score for one health check per request; zero if health checks are free.
+    /// The cost of one health check per request, in points of the score by which the deployment is rated; zero if
+    /// health checks are free.
     pub health_check_cost: f64,
     /// Index of the utilization (load over capacity) in a load report; `None` if reports do not contain it.
     pub utilization_field: Option<usize>,
--- a/crates/placement/src/balancer.rs
+++ b/crates/placement/src/balancer.rs
@@ -26,7 +26,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The random stream for decisions that the nodes of a fleet divide among themselves.
+/// The random stream that spreads the nodes of a fleet: their slow-start thresholds and their calls to discovery.
 const FLEET_RNG_STREAM: u64 = 1;
 
 pub(crate) type Actions = Vec<Action>;
@@ -37,7 +37,7 @@
     /// The shortest message objective of any class.
     pub(crate) min_message_objective: Duration,
     pub(crate) jitter_rng: Pcg32,
-    /// Separate from the generator of the jitter, so that neither affects the numbers of the other.
+    /// Separate from `jitter_rng`, so that neither affects the numbers of the other.
     pub(crate) fleet_rng: Pcg32,
     pub(crate) poll_schedule: PollSchedule,
     pub(crate) admin_drain: AdminDrain,
--- a/crates/placement/src/limits/concurrency_limit.rs
+++ b/crates/placement/src/limits/concurrency_limit.rs
@@ -44,7 +44,7 @@
         self.max_load = f64::INFINITY;
     }
 
-    /// Raises the limit to `load`, the server's present load, if it is lower.
+    /// Raises the limit to `load`, the server's present load, if the limit is lower.
     pub(crate) fn raise_to(&mut self, now: Timestamp, load: f64) {
         self.raised_at = Some(now);
         self.max_load = self.max_load.max(load);
--- a/crates/placement/src/limits/setup_window.rs
+++ b/crates/placement/src/limits/setup_window.rs
@@ -122,7 +122,8 @@
         self.shrink(now, rng);
     }
 
-    /// Ends the pause and restores at least the initial size, because the failures do not concern setups elsewhere.
+    /// Ends the pause and restores at least the initial size, because the recent failures were due to an unreachable
+    /// zone and do not concern setups elsewhere.
     pub(crate) fn reopen(&mut self, now: Timestamp) {
         self.paused_until = now;
         self.size = self.size.max(initial_size(self.node_count));
--- a/crates/placement/src/limits/slow_start_budget.rs
+++ b/crates/placement/src/limits/slow_start_budget.rs
@@ -98,7 +98,7 @@
         self.usage.was_exhausted |= self.is_exhausted;
     }
 
-    /// Usage since the last call.
+    /// Returns the usage since the last call.
     pub(crate) fn take_usage(&mut self) -> SlowStartUsage {
         let recent_count = self.recent_attempts.len();
         let next_usage = MaxUsage {
--- a/crates/placement/src/limits/slow_start_wave.rs
+++ b/crates/placement/src/limits/slow_start_wave.rs
@@ -81,8 +81,8 @@
 }
 
 /// Requests that a server in slow start can accept within an overload window, as a multiple of a warm server's
-/// connections: the number that fills the server over its warm-up, scaled by the overload factor and its present
-/// capacity.
+/// connections: those that arrive in the window at the rate that fills the server over its warm-up, multiplied by the
+/// overload factor and the fraction of its capacity that it has at present.
 fn relative_request_capacity(settings: &Settings, now: Timestamp, server: &Server) -> f64 {
     let window_ratio = settings.overload_window.as_secs_f64()
         / settings.slow_start_duration.as_secs_f64().max(1e-9);
@@ -180,7 +180,7 @@
     }
 
     /// Records an established connection to this server that broke while its client still needed it. Connections of
-    /// draining and removed servers are left out, because the endpoint list reports those servers.
+    /// draining and removed servers are left out, because these servers already count as departures.
     pub(crate) fn observe_broken_connection(&mut self, now: Timestamp, slot: ServerSlot) {
         let server = self.fleet.servers.get(slot);
         if server.is_some_and(|server| server.health == Health::Ready) {
--- a/crates/placement/src/policy/admission.rs
+++ b/crates/placement/src/policy/admission.rs
@@ -28,7 +28,7 @@
 /// Lower bound of the divisor of key ratios.
 const MIN_KEY_RATIO: f64 = 1e-9;
 
-/// The treatment of servers that hold more than their fair share of the load.
+/// Whether a server must stay within its fair share of the load to be admitted.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FairLoad {
     Required,
@@ -44,13 +44,13 @@
     /// Load that the first connection of a group adds to a server.
     group_overhead: f64,
     is_tenant_over_quota: bool,
-    /// Utilization per unit of this node's load, with the load of all other nodes included.
+    /// Mean utilization, which all nodes together cause, per unit of this node's load.
     utilization_per_load: f64,
     pub(crate) slow_start: SlowStartAdmission,
 }
 
 impl AdmissionContext {
-    /// Returns the context for a request that goes to a server in slow start in any case.
+    /// Returns the same context with servers in slow start preferred. `max_key_ratio` is their largest key ratio.
     pub(crate) fn preferring_slow_start(self, max_key_ratio: f64) -> AdmissionContext {
         AdmissionContext {
             slow_start: SlowStartAdmission::Preferred { max_key_ratio },
@@ -69,7 +69,7 @@
 }
 
 impl FillLimits {
-    /// Returns tighter limits for new groups. Guards against servers that fill up with the shared work of many groups
+    /// Returns tighter limits for new groups. Guards against servers that fill up with the overhead of many groups
     /// while they hold few connections of each.
     fn new(serves_group: bool, context: &AdmissionContext) -> FillLimits {
         if serves_group {
@@ -98,7 +98,8 @@
     ) -> AdmissionContext {
         let totals = &self.fleet.totals;
         let mean_load = self.load_estimates.mean();
-        // A node that has just started holds almost no load, so its own load is no basis for the estimate.
+        // A node that has just started holds almost no load. Divided by that load, the utilization per unit would be
+        // far too high, so a minimum load per reporting server is assumed.
         let reported_load = f64::max(
             totals.reported_load,
             totals.reporting * DEFAULT_CONNECTIONS_PER_SERVER * mean_load,
@@ -152,9 +153,9 @@
     }
 
     /// Returns true if the key is in the fraction that a server in slow start accepts; other servers accept every
-    /// key. In a reconnect wave the connection's own key decides; by the group's key, a large group would go to the
-    /// server as a whole or not at all. A request that prefers servers in slow start is spread, by its group, over
-    /// those that accept the request's key.
+    /// key. In a reconnect wave the connection's own key decides: if the group's key did, a large group would go to the
+    /// server as a whole or not at all. For a request that prefers servers in slow start, the request's key decides,
+    /// and its group is spread over the servers that accept the key.
     pub(crate) fn accepts_key_in_slow_start(
         &self,
         now: Timestamp,
--- a/crates/placement/src/policy/attempt.rs
+++ b/crates/placement/src/policy/attempt.rs
@@ -110,8 +110,8 @@
             // Only servers in slow start are limited by their tokens.
             server.slow_start.tokens -= 1.0;
             if selection.exceeds_limit {
-                // Raised only once in a while; otherwise a full server would accept every request between two
-                // reports.
+                // Records the time, because a limit is raised only once per interval; otherwise a full server would
+                // accept every request between two reports.
                 server.limit.raise_to(now, server.load);
             }
             server.ejection.is_half_open = server.ejection.until.is_some();
--- a/crates/placement/src/policy/group_spread.rs
+++ b/crates/placement/src/policy/group_spread.rs
@@ -4,7 +4,7 @@
 //! of a group the other nodes receive. Placed by the group's key alone, all requests of a large group would go to the
 //! server in slow start that ranks first for it. So a group is spread over the first such servers of its ranking;
 //! their number depends on the group's expected fraction of the requests. All nodes use the first servers of the same
-//! ranking, since each server that holds any connection of a group repeats the group's shared work.
+//! ranking, since the group's overhead arises anew on each server that holds any of its connections.
 
 use crate::balancer::Balancer;
 use crate::hashing::{murmur, rank_score, unit_interval};
@@ -16,7 +16,7 @@
 use crate::state::server_table::ServerSlot;
 use crate::Timestamp;
 
-/// A group is spread over this many times the servers in slow start that its fraction of the requests would fill.
+/// A group is spread over this multiple of the number of servers in slow start that its requests would fill.
 const SPREAD_FACTOR: f64 = 3.0;
 /// The hash seed for a connection's rank within its group, so that the rank is independent of whether a server
 /// accepts the connection's key.
--- a/crates/placement/src/policy/rejection.rs
+++ b/crates/placement/src/policy/rejection.rs
@@ -3,7 +3,7 @@
 use crate::balancer::{Actions, Balancer};
 use crate::{Action, RequestId};
 
-/// The range of the advised wait, as fractions of the longest wait that clients obey.
+/// The range of the random `Retry-After`, as fractions of the longest one that clients obey.
 struct RetryAfterRange {
     min_ratio: f64,
     spread_ratio: f64,
--- a/crates/placement/src/policy/retry.rs
+++ b/crates/placement/src/policy/retry.rs
@@ -19,8 +19,8 @@
 }
 
 impl Balancer {
-    /// Returns true if the present attempt may still be sent once its connection is established: the time for a retry
-    /// after a possible execution may have passed by then.
+    /// Returns true if the present attempt may still be sent once its connection is established: the window in which a
+    /// retry after a possible execution is allowed may have ended by then.
     pub fn can_still_send(&self, now: Timestamp, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
--- a/crates/placement/src/policy/selection.rs
+++ b/crates/placement/src/policy/selection.rs
@@ -115,8 +115,8 @@
         self.scan_all_servers(now, request, context, start)
     }
 
-    /// Returns the highest-ranked candidates. For a group that fills several servers, the ranking starts at one of
-    /// that many servers.
+    /// Returns the highest-ranked candidates. If the request's group would fill several servers, the ranking starts at
+    /// one of these, chosen by the request's `split_position`.
     fn first_candidates(&self, now: Timestamp, request: &RequestState) -> Vec<Candidate<'_>> {
         let is_restricted = request.is_first_mid_flow_attempt()
             || !request.tried_servers.is_empty()
@@ -205,8 +205,10 @@
         may_exceed_limit.then_some(Tier::BeyondLimit)
     }
 
-    /// Returns true if servers of this machine kind accept the key: about the same keys at every node. Guards against
-    /// machine kinds with less capacity than listed, if a node holds too few connections to judge each server.
+    /// Returns false if the key is in the fraction that a server declines because its machine kind is overloaded more
+    /// often than others. Every node declines about the same keys; groups that the server already serves are never
+    /// declined. Guards against machine kinds with less capacity than listed, if a node holds too few connections to
+    /// judge each server.
     fn is_accepted_by_machine_kind(&self, request: &RequestState, server: &Server) -> bool {
         let excess_rate = self.machine_kinds.excess_overload_rate(server.machine_kind);
         let connections_per_server =
--- a/crates/placement/src/poll_schedule.rs
+++ b/crates/placement/src/poll_schedule.rs
@@ -31,8 +31,8 @@
 /// nodes make at most 72 calls per second while discovery is down, and 2,100 nodes make 510.
 const MAX_SPREAD_SECONDS: f64 = 4.5;
 
-/// Maximum ratio of the lower to the upper bound of a later retry's delay. Nodes whose calls fail repeatedly keep the
-/// spread that they had after the first failure, except for the remaining fraction.
+/// Maximum ratio of the lower to the upper bound of a later retry's delay. Delays between such close bounds preserve
+/// the spread that nodes had after the first failure, except for the remaining fraction.
 const MAX_MIN_DELAY_RATIO: f64 = 0.85;
 
 /// Fleets whose spread is at most this, in seconds, call without delay after a start or a stalled watch.
@@ -42,8 +42,8 @@
 /// received within 6 s after it stalled, and half of that time has passed when the stall is detected.
 const MAX_STALLED_WATCH_SPREAD_SECONDS: f64 = 1.0;
 
-/// Time after the last contact with discovery from which missed changes are overdue anyway, so that earlier calls do
-/// not help.
+/// Time since the last contact with discovery after which changes that the node missed are overdue in any case, so that
+/// an earlier call does not help.
 const CONTACT_OVERDUE_AFTER: Duration = Duration::from_millis(5250);
 
 /// Minimum time before another call is made beside an unanswered one, which may be queued at a busy discovery service.
@@ -148,9 +148,9 @@
         Duration::from_secs_f64(spread_seconds * random)
     }
 
-    /// Records that an endpoint list was received. A `cached` list does not show that discovery answers.
-    pub fn record_answer(&mut self, cached: bool) {
-        if !cached {
+    /// Records that an endpoint list was received. A cached list does not show that discovery answers.
+    pub fn record_answer(&mut self, is_cached: bool) {
+        if !is_cached {
             self.consecutive_failures = 0;
         }
     }
--- a/crates/placement/src/poll_schedule/tests.rs
+++ b/crates/placement/src/poll_schedule/tests.rs
@@ -44,7 +44,7 @@
 }
 
 /// Guards against retries that stay in step: 61 calls that failed together were retried within half a second of each
-/// other, and again so for ten seconds.
+/// other, again and again for ten seconds.
 #[test]
 fn calls_to_a_failing_discovery_spread_out_and_never_stop() {
     for node_count in [3, 30, 100, 300, 400, 2100] {
--- a/crates/placement/src/recovery/key_fitting.rs
+++ b/crates/placement/src/recovery/key_fitting.rs
@@ -64,7 +64,7 @@
 }
 
 /// Sets the extra ratio of each remaining server so that none exceeds its capacity. `all` are the hashes of the
-/// servers before the loss. A server keeps its own keys in any case.
+/// servers before the loss. A server keeps its own keys, those for which it ranked first before the loss, in any case.
 pub(crate) fn fit_to_capacity(all: &[u32], remaining: &mut [RemainingServer]) {
     let samples = sample_keys(all, remaining);
     for server in remaining.iter_mut() {
--- a/crates/placement/src/recovery/load_shedding.rs
+++ b/crates/placement/src/recovery/load_shedding.rs
@@ -17,8 +17,8 @@
 /// The rotation that moves the bits which decide between equal groups to the top of the key.
 const KEY_ROTATION: u32 = 16;
 
-/// The order in which groups of the same size are migrated: those of tenants over their quota first, then by a hash,
-/// so that all nodes choose the same groups.
+/// Identifies a group and orders groups for migration: those of tenants over their quota come first, and groups of the
+/// same size are ordered by a hash, so that all nodes choose the same groups.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupOrder {
     is_within_quota: bool,
@@ -73,8 +73,8 @@
 
 impl Balancer {
     /// Migrates connections off a server until its load is within its limit: whole groups with their overhead, small
-    /// ones first, since each frees the same overhead. Only if no whole group fits is a group split, heaviest
-    /// connections first.
+    /// ones first, since each frees the same overhead. Groups that do not fit into the excess as a whole are then split,
+    /// heaviest connections first.
     pub(crate) fn shed_load(&mut self, now: Timestamp, slot: ServerSlot, actions: &mut Actions) {
         let random = self.jitter();
         let Some(server) = self.fleet.servers.get(slot) else {
--- a/crates/placement/src/recovery/shared_failures.rs
+++ b/crates/placement/src/recovery/shared_failures.rs
@@ -1,4 +1,4 @@
-//! Detection of faults behind all servers: setups fail at one server after another.
+//! Detection of faults behind all servers, such as in a shared store: setups fail at one server after another.
 
 /// Weight of one setup in the failure ratio.
 const SETUP_WEIGHT: f64 = 0.2;
--- a/crates/placement/src/recovery/zone_outage.rs
+++ b/crates/placement/src/recovery/zone_outage.rs
@@ -25,7 +25,8 @@
     ) {
         let duration_ratio = MIN_OUTAGE_RATIO + (1.0 - MIN_OUTAGE_RATIO) * self.jitter();
         let until = now.saturating_add(ZONE_OUTAGE_WINDOW.mul_f64(duration_ratio));
-        // Only a health check can show that the zone is reachable before the next attempt there.
+        // Without health checks, only the next attempt in the zone could show that it is reachable again, so the zone
+        // would stay without attempts if it counted as unreachable until one of its servers answers.
         let is_lasting = self.reports_utilization();
         let zone_slots = self
             .fleet
--- a/crates/placement/src/state/group_frequency.rs
+++ b/crates/placement/src/state/group_frequency.rs
@@ -6,8 +6,8 @@
 /// Groups with this many recent requests or fewer are dropped.
 const MIN_RECENT_REQUESTS: f64 = 0.1;
 
-/// Number of observed requests that give as much evidence of a group's size as the arrival of one of its requests
-/// alone, which more likely belongs to a large group than to a small one.
+/// Weight of the prior, in requests. The arrival of one request of a group gives as much evidence of the group's size
+/// as this many observed requests, because a request more likely belongs to a large group than to a small one.
 const PRIOR_REQUESTS: f64 = 5.0;
 
 /// Recent requests, decaying with age.
--- a/crates/placement/src/state/learned_state.rs
+++ b/crates/placement/src/state/learned_state.rs
@@ -22,7 +22,7 @@
     pub overloaded_ago: Option<Duration>,
     /// Remaining time of its ejection.
     pub ejected_for: Option<Duration>,
-    /// Number of consecutive ejections.
+    /// Number of ejections since the server started.
     pub ejection_count: u32,
     /// Number of failures since the last success.
     pub consecutive_failures: u32,
@@ -32,7 +32,7 @@
 
 impl LearnedServer {
     fn new(now: Timestamp, id: &ServerId, server: &Server) -> LearnedServer {
-        let elapsed = |at: Timestamp| now.saturating_duration_since(at);
+        let elapsed = |time: Timestamp| now.saturating_duration_since(time);
         let ejected_until = server.ejection.until;
         LearnedServer {
             server: id.clone(),
--- a/crates/placement/src/state/learned_state/tests.rs
+++ b/crates/placement/src/state/learned_state/tests.rs
@@ -32,7 +32,7 @@
         assert_eq!(
             (restored.len(), &restored[0]),
             (2, &learned[0]),
-            "the new process has no c"
+            "the new process does not know server c"
         );
         assert_eq!(
             restored[1] == learned[1],
--- a/crates/placement/src/state/load_accounting.rs
+++ b/crates/placement/src/state/load_accounting.rs
@@ -4,11 +4,12 @@
 use crate::state::request::RequestState;
 use crate::RequestId;
 
-/// Load that the first connection of a group adds on a server, as a multiple of the mean load.
+/// Overhead of a group: the load that its first connection adds to a server for the work that the connections of the
+/// group share there, as a multiple of the mean load of a connection.
 pub(crate) const GROUP_OVERHEAD_RATIO: f64 = 2.0;
 
 impl Balancer {
-    /// This node's load on ready servers per unit of weight of those that are not ejected.
+    /// This node's load on all ready servers, divided by the weight of those that are not ejected.
     pub(crate) fn fair_load_per_weight(&self) -> f64 {
         self.fleet.totals.load / self.fleet.totals.available_weight.max(1e-9)
     }
--- a/crates/placement/src/state/load_estimates.rs
+++ b/crates/placement/src/state/load_estimates.rs
@@ -4,7 +4,7 @@
 const RETAINED_PER_OBSERVATION: f64 = 0.995;
 /// Mean load before any observation.
 const DEFAULT_LOAD: f64 = 1.0;
-/// Connections that a node may have on each server before it has an estimate.
+/// Connections that a node is assumed to have on each server while it has too few of its own for an estimate.
 pub(crate) const DEFAULT_CONNECTIONS_PER_SERVER: f64 = 5.0;
 
 #[derive(Clone, Copy, Default)]
--- a/crates/placement/src/state/server.rs
+++ b/crates/placement/src/state/server.rs
@@ -69,7 +69,7 @@
     pub(crate) zone: u32,
     pub(crate) cell: u32,
     pub(crate) machine_kind: u32,
-    /// When it last started, by the endpoint list or inferred from its recovery after a crash.
+    /// When it last started: reported by the endpoint list, or inferred from its recovery after a crash.
     pub(crate) started_at: Option<Timestamp>,
     /// When this node learned that the server is draining or removed.
     pub(crate) draining_since: Timestamp,
@@ -112,7 +112,7 @@
             .is_some_and(|started| now < started.saturating_add(settings.slow_start_duration))
     }
 
-    /// The fraction of full capacity that the server has at least.
+    /// The lower bound of the server's present capacity, as a fraction of its full capacity.
     pub(crate) fn capacity_ratio(&self, settings: &Settings, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -123,7 +123,8 @@
         (initial_ratio + (1.0 - initial_ratio) * progress).min(1.0)
     }
 
-    /// Returns true if the server already does the shared work of the group, or there is no group.
+    /// Returns true if the request would add no group overhead to the server: the server already has a connection of
+    /// the group, or there is no group.
     pub(crate) fn serves_group(&self, group: Option<u32>) -> bool {
         group.is_none_or(|group| self.group_connections.contains_key(&group))
     }
@@ -131,7 +132,7 @@
     /// Returns true if the server may accept one more connection beyond its limit: it has not been overloaded for
     /// `min_overload_age`, so the limit may be out of date, and the limit was not raised within `raise_interval`. The
     /// caller admits only connections of groups that the server already serves: otherwise a fleet that rejects
-    /// requests would fill up with shared work, as every server would add one group after another.
+    /// requests would fill up with group overhead, as every server would add one group after another.
     pub(crate) fn may_exceed_limit(
         &self,
         now: Timestamp,
@@ -155,7 +156,7 @@
 
     /// The number of this node's connections that would use the server's present capacity, if its report is younger
     /// than `max_age`. Assumes that the other nodes have as many connections to the server as this one. The reported
-    /// utilization includes the shared work of groups, so the estimate errs on the low side.
+    /// utilization includes the overhead of groups, so the estimate errs on the low side.
     pub(crate) fn connections_at_capacity(&self, now: Timestamp, max_age: Duration) -> Option<f64> {
         let report = self.recent_report(now, max_age)?;
         let is_significant = report.utilization >= MIN_UTILIZATION_FOR_ESTIMATE
