--- a/crates/node/src/admin/connection.rs
+++ b/crates/node/src/admin/connection.rs
@@ -1,4 +1,5 @@
-//! A connection to the admin address: reads one call, writes the answer and waits until the caller closes the connection.
+//! A connection to the admin address: reads one call, writes the answer and waits until the caller closes the
+//! connection.
 
 use super::handler::{handle, AdminCallError};
 use crate::command::{AdminConnectionCommand, Message};
@@ -20,7 +21,8 @@
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// Limit of the bytes read from a caller per event loop iteration. If a caller sends more, its connection is closed.
+/// Limit of the bytes read from a caller in one turn of the event loop. If a caller sends more, its connection is
+/// closed.
 const MAX_BYTES_PER_TURN: usize = 4 * MAX_LINE_BYTES;
 
 /// The open connections, the oldest first.
@@ -157,8 +159,8 @@
         self.flush()
     }
 
-    /// Writes the rest of the answer and shuts down the sending side. The connection stays open until the caller closes it,
-    /// since closing it at once could discard an answer that the caller has not read yet.
+    /// Writes the rest of the answer and shuts down the sending side. The connection stays open until the caller closes
+    /// it, since closing it at once could discard an answer that the caller has not read yet.
     fn flush(&mut self) -> Lifecycle {
         let CallState::Answered(answer) = &mut self.state else {
             return Lifecycle::Continue;
--- a/crates/node/src/admin/listener.rs
+++ b/crates/node/src/admin/listener.rs
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Pause of the listener after accepting has failed, such as for lack of a free descriptor.
+/// Pause of the listener after accepting has failed, for example because no descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Limit of connections accepted per event loop iteration.
+/// Limit of connections accepted in one turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 8;
 
 /// Accepts connections at the admin address.
@@ -72,8 +72,8 @@
         Ok(())
     }
 
-    /// Closes the oldest connection if there are too many. Hundreds of connections without a call would otherwise exclude
-    /// one that carries a call.
+    /// Closes the oldest connection if there are too many. Hundreds of connections without a call would otherwise
+    /// exclude one that carries a call.
     fn close_oldest_over_limit(&self, context: &mut NodeContext) {
         let mut open_connections = self.open_connections.borrow_mut();
         if open_connections.len() <= context.config.max_admin_connections() {
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin address: each connection carries one call, which is a line, and receives an answer, which is a line that begins
-//! with `done` or `error`.
+//! The admin address: each connection carries one call, which is a line, and receives an answer, which is a line that
+//! begins with `done` or `error`.
 
 mod call;
 mod client;
--- a/crates/node/src/application.rs
+++ b/crates/node/src/application.rs
@@ -64,7 +64,7 @@
             context.send(*id, ClientCommand::AnswerBeforeExit(scope));
         }
     }
-    if std::mem::take(&mut context.transfer_requested) {
+    if std::mem::take(&mut context.is_transfer_requested) {
         context.handoff.enqueue(ids);
     }
 }
@@ -80,7 +80,7 @@
         while let Some(command) = context.placement.next_command() {
             execute(context, command);
         }
-        if context.transfer_requested || context.exit_answers_requested.is_some() {
+        if context.is_transfer_requested || context.exit_answers_requested.is_some() {
             notify_connections(context, components);
         }
     }
--- a/crates/node/src/client/connection.rs
+++ b/crates/node/src/client/connection.rs
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Answers `PING`. The front sends clients to this node after a `PONG`, so it is sent only if they can be served.
+    /// Answers `PING`. The front load balancer sends clients to this node after a `PONG`, so `PONG` is sent only if
+    /// they can be served.
     fn answer_ping(&mut self, context: &mut NodeContext) -> Lifecycle {
         if context.check_serving().is_ok() {
             self.answer(context, answer::PONG)
@@ -263,7 +264,7 @@
     /// Handles a connection that has to close because its time is up or the process exits. What has arrived is read
     /// first: guards against closing a connection whose request is complete, since its last byte may have arrived
     /// while this process was kept from reading. A client that has sent nothing is rejected too: its first line may
-    /// cross the close, and then has an answer.
+    /// already be in transit, and is then answered.
     fn on_expired(&mut self, context: &mut NodeContext) -> Lifecycle {
         if self.read(context) == Lifecycle::Close {
             return Lifecycle::Close;
--- a/crates/node/src/client/unidentified.rs
+++ b/crates/node/src/client/unidentified.rs
@@ -1,4 +1,5 @@
-//! Connections without a request: those whose first line is not complete, and those that have been answered.
+//! Unidentified connections, that is, client connections without a request: those whose first line is not complete,
+//! and those that have been answered.
 
 use lupincrank_reactor::ComponentId;
 use std::cell::RefCell;
--- a/crates/node/src/config/limits.rs
+++ b/crates/node/src/config/limits.rs
@@ -19,7 +19,7 @@
 /// read.
 const MIN_BUFFERED_BYTES: usize = 8 << 10;
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// Bounds of the new connections accepted in one turn of the loop; the maximum is for a whole core.
+/// Bounds of the new connections accepted in one turn of the event loop; the maximum is for a whole core.
 const MAX_ACCEPTS: usize = 16;
 const MIN_ACCEPTS: usize = 4;
 /// Descriptors for the event loop, the listener, discovery, signals and the standard streams, and those that one turn
@@ -130,8 +130,8 @@
         remaining / DESCRIPTORS_PER_CLIENT
     }
 
-    /// The maximum number of new connections accepted in one turn of the loop: small for a fraction of a core, so that
-    /// established connections do not wait when the process is throttled.
+    /// The maximum number of new connections accepted in one turn of the event loop: small for a fraction of a core, so
+    /// that established connections do not wait when the process is throttled.
     pub fn max_accepts_per_turn(&self) -> usize {
         let accepts = (self.limits.cores * MAX_ACCEPTS as f64).ceil() as usize;
         accepts.clamp(MIN_ACCEPTS, MAX_ACCEPTS)
--- a/crates/node/src/config/reload.rs
+++ b/crates/node/src/config/reload.rs
@@ -8,7 +8,7 @@
     /// Changed entries that apply only at the next start.
     pub pending_restart: Vec<&'static str>,
     /// For each class, its index before the reload; `None` if the class is new.
-    pub previous_class_positions: Vec<Option<usize>>,
+    pub previous_class_indices: Vec<Option<usize>>,
 }
 
 impl Config {
@@ -41,7 +41,7 @@
     pub fn apply(&mut self, new_config: Config) -> ReloadOutcome {
         let outcome = ReloadOutcome {
             pending_restart: self.pending_restart(&new_config),
-            previous_class_positions: self.previous_class_positions(&new_config),
+            previous_class_indices: self.previous_class_indices(&new_config),
         };
         self.discovery_address = new_config.discovery_address;
         self.discovery_in_file = new_config.discovery_in_file;
@@ -74,7 +74,7 @@
         pending
     }
 
-    fn previous_class_positions(&self, new_config: &Config) -> Vec<Option<usize>> {
+    fn previous_class_indices(&self, new_config: &Config) -> Vec<Option<usize>> {
         let position = |class| self.classes.iter().position(|previous| previous == class);
         new_config.classes.iter().map(position).collect()
     }
--- a/crates/node/src/deadline.rs
+++ b/crates/node/src/deadline.rs
@@ -78,7 +78,7 @@
 /// Deadlines of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ClientDeadline {
-    /// The connection closes unless the first line, or after the answer the client's close, was received.
+    /// The timeout of the first line; after an answer, the timeout of the client's close.
     Close,
     /// The next attempt to restore a connection from before this process's start.
     RestoreRetry,
@@ -100,7 +100,7 @@
 pub(crate) enum HealthCheckDeadline {
     /// The timeout of the connect.
     Connect,
-    /// The timeout of the answer, or the time of the next health check.
+    /// The timeout of the answer; between checks, the idle timeout of the connection.
     Answer,
 }
 
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -1,5 +1,5 @@
-//! One HTTP call to discovery that opens a watch: an endless response whose body contains one JSON object for each change of
-//! the endpoint list.
+//! One HTTP call to discovery that opens a watch: an endless response whose body contains one JSON object for each
+//! change of the endpoint list.
 
 use super::chunked::{BodyState, ChunkError, ChunkedDecoder};
 use super::endpoint_list::EndpointListError;
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -22,18 +22,18 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Time after which a connection that is not established has failed. It covers the kernel's first retry, after 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1250);
-/// Delay before a call is retried that has failed for a local reason. A local failure says nothing about discovery, and must
-/// not use up the time that is available for calls to it.
+/// Delay before a retry of a call that has failed for a local reason. A local failure is no evidence against discovery,
+/// and must not use up the time that is available for calls to it.
 const LOCAL_FAILURE_BACKOFF: Duration = Duration::from_millis(20);
 /// Consecutive local failures after which a further one counts as a failed call.
 const MAX_LOCAL_FAILURES: u32 = 50;
-/// Time without a complete object or an empty line after which a watch has failed. Discovery sends an empty line every 2 s.
-/// Changes that the watch misses count as announced 6 s after its last data, which leaves time for a call, with a delay
-/// that spreads the calls of all nodes, and for a second call if the first one hangs.
+/// Time without a complete object or an empty line after which a watch has failed. Discovery sends an empty line every
+/// 2 s. Changes that the watch misses must be received within 6 s of its last data, which leaves time for a call, with
+/// a delay that spreads the calls of all nodes, and for a second call if the first one hangs.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// Limit of reads of one call per event loop iteration, so that a long list does not delay clients.
+/// Limit of reads of one call in one turn of the event loop, so that a long list does not delay clients.
 const MAX_READS_PER_TURN: usize = 16;
 /// Maximum number of open calls: the watch, or the calls that are to open it.
 const CALL_SLOTS: usize = 2;
@@ -261,8 +261,8 @@
         // An empty line is complete data too.
         let has_complete_data = has_update || (!has_partial_object && progress.has_data);
         let object_began = has_partial_object && !progress.had_partial_object;
-        // For an incomplete object, the deadline is set once, at its beginning. Otherwise a list that is received byte by
-        // byte and never ends would keep the watch open, although its changes count as announced.
+        // For an incomplete object, the deadline is set once, at its beginning. Otherwise a list that is received byte
+        // by byte and never ends would keep the watch open, although its changes must be received within 6 s.
         if has_complete_data || object_began {
             let deadline = Instant::now() + WATCH_TIMEOUT;
             set_deadline(context, DiscoveryDeadline::Call(slot), deadline);
@@ -338,8 +338,8 @@
         self.on_failure(context, &DiscoveryError::TimedOut);
     }
 
-    /// Switches to the configuration's changed address. The endpoints stay, and the watch at the new address continues from
-    /// the last version received from the old one.
+    /// Switches to the configuration's changed address. The endpoints stay, and the watch at the new address continues
+    /// from the last version received from the old one.
     fn change_address(&mut self, context: &mut NodeContext) {
         self.address = context.config.discovery_address;
         for slot in 0..CALL_SLOTS {
--- a/crates/node/src/discovery/endpoint_resolver.rs
+++ b/crates/node/src/discovery/endpoint_resolver.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Resolves one entry. `not_listed_at` is the time of the last contact with discovery before the list with this entry;
-    /// `None` for the first list.
+    /// Resolves one entry. `not_listed_at` is the time of the last contact with discovery before the list with this
+    /// entry; `None` for the first list.
     ///
     /// # Errors
     /// If the address is invalid or the health is unknown.
--- a/crates/node/src/discovery/json_stream.rs
+++ b/crates/node/src/discovery/json_stream.rs
@@ -1,6 +1,6 @@
-//! Splits a stream of bytes into JSON objects, whatever their layout and wherever the bytes are split. Discovery writes each
-//! object on one line, or indented over several lines. This module only finds the end of an object; a JSON library parses
-//! the contents.
+//! Splits a stream of bytes into JSON objects, whatever their layout and wherever the bytes are split. Discovery writes
+//! each object on one line, or indented over several lines. This module only finds the end of an object; a JSON library
+//! parses the contents.
 
 use thiserror::Error;
 
@@ -47,8 +47,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Removes and returns the next complete object, without the white space before it. Returns `None` while more bytes are
-    /// needed.
+    /// Removes and returns the next complete object, without the white space before it. Returns `None` while more bytes
+    /// are needed.
     ///
     /// # Errors
     /// If something other than an object begins, or the object is too long. No object can be read after an error.
--- a/crates/node/src/graceful_shutdown.rs
+++ b/crates/node/src/graceful_shutdown.rs
@@ -9,7 +9,8 @@
 use slog::info;
 use std::time::{Duration, Instant};
 
-/// The earliest SIGKILL is this long after the longest deadline, which counts as at most `MAX_DEADLINE`.
+/// SIGKILL follows SIGTERM no earlier than after the longest request deadline, counted as at most `MAX_DEADLINE`, plus
+/// this delay.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// The process exits this long before the earliest SIGKILL.
@@ -20,7 +21,7 @@
 const MIGRATION_START_BEFORE_EXIT: Duration = Duration::from_millis(1400);
 /// Migration ends this long before the process exits.
 const MIGRATION_END_BEFORE_EXIT: Duration = Duration::from_millis(400);
-/// Connections without a first line are answered from this long before the exit on.
+/// Connections without a first line are answered too once the exit is at most this far away.
 const LAST_ANSWERS_BEFORE_EXIT: Duration = Duration::from_millis(150);
 /// The interval between two steps of the migration.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/node/src/handoff/admin_drain_file.rs
+++ b/crates/node/src/handoff/admin_drain_file.rs
@@ -14,7 +14,8 @@
 const HEADER: &str = "lupincrank-out 1 ";
 /// Maximum length of the file. A longer one was not written by this program.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Time to wait for the lock. The other process holds it for microseconds, unless it was stopped in the middle of a change.
+/// Time to wait for the lock. The other process holds it for microseconds, unless it was stopped in the middle of a
+/// change.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(50);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
@@ -28,7 +29,7 @@
 }
 
 impl AdminDrainFileError {
-    /// Returns true if the file was read and its contents are damaged. A failed read says nothing about the contents.
+    /// Returns true if the file was read and its contents are damaged. A failed read is no evidence of damage.
     fn is_damage(&self) -> bool {
         matches!(
             self.reason,
--- a/crates/node/src/handoff/agent.rs
+++ b/crates/node/src/handoff/agent.rs
@@ -12,7 +12,7 @@
 use slog::info;
 use socket2::Socket;
 
-/// Limit of messages handled per event loop iteration, so that clients are served in between.
+/// Limit of messages handled in one turn of the event loop, so that clients are served in between.
 const MAX_MESSAGES_PER_TURN: usize = 2 * MAX_IN_FLIGHT;
 
 /// Accepts a successor, one at a time. A second successor has to connect again after the first has disconnected.
--- a/crates/node/src/handoff/incoming.rs
+++ b/crates/node/src/handoff/incoming.rs
@@ -59,8 +59,9 @@
         send_heartbeat(context);
     }
     // SIGTERM may have been received before the successor was able to serve clients.
-    let shuts_down = context.shutdown.is_some();
-    if shuts_down && !context.handoff.has_started_handover && context.handoff.has_successor() {
+    let is_shutting_down = context.shutdown.is_some();
+    if is_shutting_down && !context.handoff.has_started_handover && context.handoff.has_successor()
+    {
         start_handover(context);
     }
 }
@@ -119,9 +120,10 @@
 
 /// Accepts an offered connection and returns true if this process owns it.
 ///
-/// The answer is sent before anything is read from or written to the connection, so the owner is known to the other process
-/// even if this one fails right after. If the answer can't be sent, the connection between the two processes is closed:
-/// the other process then keeps the connections that it offered. If the other process has terminated, this one owns them.
+/// The answer is sent before anything is read from or written to the connection, so the owner is known to the other
+/// process even if this one fails right after. If the answer can't be sent, the connection between the two processes is
+/// closed: the other process then keeps the connections that it offered. If the other process has terminated, this one
+/// owns them.
 fn accept(context: &mut NodeContext, number: u64) -> bool {
     if context.handoff.send(&HandoffMessage::Accepted(number)) || has_peer_terminated(context) {
         return true;
@@ -137,9 +139,10 @@
     }
 }
 
-/// Returns true if the other process has terminated, which releases its lock: this process is then the only owner of the
-/// connections that it has received. A process that has merely closed the connection to this one would continue to use the
-/// connections that it sent. Messages sent before the termination are received before the end of that connection is detected.
+/// Returns true if the other process has terminated, which releases its lock: this process is then the only owner of
+/// the connections that it has received. A process that has merely closed the connection to this one would continue to
+/// use the connections that it sent. Messages sent before the termination are received before the end of the connection
+/// between the two processes is detected.
 fn has_peer_terminated(context: &mut NodeContext) -> bool {
     let search = context.application.handoff.find_peer(&context.poller);
     let has_lock = context.handoff.primary.is_some();
--- a/crates/node/src/handoff/inherited_listener.rs
+++ b/crates/node/src/handoff/inherited_listener.rs
@@ -31,8 +31,8 @@
     },
 }
 
-/// Takes ownership of the descriptor if it is a listening socket at this address. The other processes hold the same socket:
-/// it stays open when one of them terminates, and must never be shut down.
+/// Takes ownership of the descriptor if it is a listening socket at this address. The other processes hold the same
+/// socket: it stays open when one of them terminates, and must never be shut down.
 ///
 /// # Errors
 /// `InvalidInput` if the descriptor is not such a socket, and any error of the operating system.
@@ -49,8 +49,8 @@
     if !target.to_string_lossy().starts_with("socket:") {
         return Err(invalid(DescriptorProblem::NotSocket));
     }
-    // SAFETY: the check above has shown that the descriptor is open, and the platform passes it for this use only. Nothing
-    // else in the process owns it: the node calls this function once, before it opens connections.
+    // SAFETY: the check above has shown that the descriptor is open, and the platform passes it for this use only.
+    // Nothing else in the process owns it: the node calls this function once, before it opens connections.
     let socket = unsafe { Socket::from_raw_fd(descriptor) };
     if !socket.is_listener()? || socket.r#type()? != socket2::Type::STREAM {
         return Err(invalid(DescriptorProblem::NotListening));
--- a/crates/node/src/handoff/lifecycle.rs
+++ b/crates/node/src/handoff/lifecycle.rs
@@ -68,7 +68,7 @@
 /// Starts to transfer all connections of this process to its successor.
 pub(crate) fn start_handover(context: &mut NodeContext) {
     context.handoff.has_started_handover = true;
-    context.transfer_requested = true;
+    context.is_transfer_requested = true;
     send_listener_command(context, ListenerCommand::Pause);
     send_heartbeat(context);
     send_learned_state(context);
--- a/crates/node/src/handoff/message.rs
+++ b/crates/node/src/handoff/message.rs
@@ -1,5 +1,5 @@
-//! The messages between two processes of one node, encoded as JSON. The two processes may run different builds, so the JSON
-//! names must not change.
+//! The messages between two processes of one node, encoded as JSON. The two processes may run different builds, so the
+//! JSON names must not change.
 
 use lupincrank_placement::learned_state::LearnedServer;
 use serde::{Deserialize, Serialize};
--- a/crates/node/src/handoff/peer_process.rs
+++ b/crates/node/src/handoff/peer_process.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns true if this process need not wait for a predecessor: none is running, or it was found and the admin drains
-    /// were read, or [`PEER_DISCOVERY_TIMEOUT`] has passed.
+    /// Returns true if this process need not wait for a predecessor: none is running, or it was found and the admin
+    /// drains were read, or [`PEER_DISCOVERY_TIMEOUT`] has passed.
     pub(crate) fn is_startup_complete(&self) -> bool {
         let is_known = self.startup.has_searched_peer
             && (self.startup.has_read_admin_drains || self.primary.is_some());
--- a/crates/node/src/handoff/runtime_files.rs
+++ b/crates/node/src/handoff/runtime_files.rs
@@ -44,10 +44,11 @@
         self.try_lock_file("lock")
     }
 
-    /// Acquires the lock of the process that is next to become the older one. Returns `None` if another process holds it.
+    /// Acquires the lock of the process that is next to become the older one. Returns `None` if another process holds
+    /// it.
     ///
-    /// A killed process holds the lock of [`RuntimeFiles::try_lock`] until it has terminated. Only one process may wait for
-    /// that lock: of two waiting processes, the one that started later could acquire it first.
+    /// A killed process holds the lock of [`RuntimeFiles::try_lock`] until it has terminated. Only one process may wait
+    /// for that lock: of two waiting processes, the one that started later could acquire it first.
     ///
     /// # Errors
     /// If the file can't be opened or locked.
--- a/crates/node/src/handoff/socket.rs
+++ b/crates/node/src/handoff/socket.rs
@@ -1,4 +1,5 @@
-//! The sockets between two processes of one node. Each packet carries one message, followed by its payload, and descriptors.
+//! The sockets between two processes of one node. Each packet carries one message, followed by its payload, and the
+//! file descriptors that belong to it.
 
 use super::message::HandoffMessage;
 use crate::component::WellKnownComponent;
--- a/crates/node/src/handoff/transfer.rs
+++ b/crates/node/src/handoff/transfer.rs
@@ -1,5 +1,5 @@
-//! Tracks which process owns each connection while one process of a node transfers its connections to the other. This module
-//! does no I/O: the caller reports sent connections and answers.
+//! Tracks which process owns each connection while one process of a node transfers its connections to the other. This
+//! module does no I/O: the caller reports sent connections and answers.
 
 use super::socket::SendOutcome;
 use lupincrank_reactor::ComponentId;
--- a/crates/node/src/handoff/transfer/tests.rs
+++ b/crates/node/src/handoff/transfer/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use std::collections::BTreeSet;
 
-/// Guards against a connection with two owners or none when the other process fails in the middle of a transfer. For each
-/// number of answers before the failure, with accepted, rejected and unsent connections in between, every connection is
-/// either accepted or kept.
+/// Guards against a connection with two owners or none when the other process fails in the middle of a transfer. For
+/// each number of answers before the failure, with accepted, rejected and unsent connections in between, every
+/// connection is either accepted or kept, and at most `MAX_IN_FLIGHT` are in flight.
 #[test]
 fn each_connection_has_one_owner_wherever_the_other_process_breaks() {
     for answers in 0..40 {
--- a/crates/node/src/placement_driver/attempts.rs
+++ b/crates/node/src/placement_driver/attempts.rs
@@ -13,7 +13,7 @@
 /// The deadline of a connection that is already established: no further attempt is made for it.
 const INHERITED_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether the client still waits for its answer when an attempt ends.
+/// The state of the client when an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientState {
     /// The client waits: another attempt may be made.
--- a/crates/node/src/placement_driver/endpoints.rs
+++ b/crates/node/src/placement_driver/endpoints.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Records that discovery has answered: the answer carries all changes since the known list.
+    /// Records that discovery has answered: the answer carries all changes since the list in the configuration.
     pub(crate) fn on_discovery_answer(&mut self) {
         self.has_discovery_answered = true;
     }
@@ -162,8 +162,8 @@
 
     /// Returns `Ok` if clients may be accepted: discovery has answered, and a server accepts new connections. Guards
     /// against a node that starts during a rolling deployment and sends its clients to servers that were replaced
-    /// long ago, although other nodes have a newer list. If discovery does not answer in time, the known list is
-    /// used.
+    /// long ago, although other nodes have a newer list. If discovery does not answer in time, the list in the
+    /// configuration is used.
     ///
     /// # Errors
     /// The reason why clients cannot be accepted.
--- a/crates/node/src/placement_driver/first_list.rs
+++ b/crates/node/src/placement_driver/first_list.rs
@@ -49,9 +49,9 @@
         }
     }
 
-    /// Returns the latest start time, as the suspected current time, if that start may have been just now although
-    /// this machine's clock shows all slow starts as over. `None` if the clock shows servers in slow start (it is
-    /// then ahead by less than the slow-start duration), or if too large a fraction of the servers would be suspect.
+    /// Returns the suspected current time, which is the latest start time, if this machine's clock shows all slow
+    /// starts as over but may be ahead. `None` if the clock shows servers in slow start (it is then ahead by less
+    /// than the slow-start duration), or if too large a fraction of the servers would be suspect.
     pub(super) fn suspected_now_ms(
         &self,
         clock: &PlacementClock,
--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -47,9 +47,10 @@
     is_slow: bool,
 }
 
-/// The age of the oldest unanswered line of an established connection.
+/// The oldest unanswered line of an established connection.
 struct UnansweredLine {
     request: RequestId,
+    /// Zero if every line is answered.
     age: Duration,
 }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// The unanswered lines of the established connections, by server.
+/// The oldest unanswered line of each established connection, by server; its age is zero if every line is answered.
 fn unanswered_lines(
     requests: &HashMap<RequestId, ActiveRequest>,
     now: Instant,
--- a/crates/node/src/placement_driver/mod.rs
+++ b/crates/node/src/placement_driver/mod.rs
@@ -38,7 +38,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// The placement of this node with the requests and servers that it covers.
+/// The node's [`Balancer`] with the active requests and the known servers.
 pub(crate) struct PlacementDriver {
     commands: VecDeque<Command>,
     balancer: Balancer,
@@ -155,7 +155,7 @@
         let deadline = active.deadline.min(active.attempt_started_at + timeout);
         let owner = active.owner;
         let Some(address) = address else {
-            // A server in the endpoint list always has an address; if this one had none, nothing was sent.
+            // Not expected: every server in the endpoint list has an address. Nothing was sent.
             return self.on_attempt_ended(request, Outcome::NotSent, ClientState::Waiting);
         };
         let attempt = AttemptOrder {
--- a/crates/node/src/placement_driver/settings.rs
+++ b/crates/node/src/placement_driver/settings.rs
@@ -7,7 +7,8 @@
 use slog::debug;
 use std::time::Duration;
 
-/// The longest retry delay that a node sends during shutdown: by then the front sends clients to other nodes.
+/// The longest retry delay that a node sends during shutdown: by then the front load balancer sends clients to
+/// other nodes.
 const MAX_SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The retry delay for requests received during shutdown, limited by the settings.
--- a/crates/node/src/placement_driver/start_times.rs
+++ b/crates/node/src/placement_driver/start_times.rs
@@ -24,7 +24,8 @@
 #[derive(Debug, Default)]
 pub(super) struct StartTimes {
     known: BTreeMap<ServerId, KnownStart>,
-    /// The time as of which discovery's first list is read if this machine's wall clock is in doubt.
+    /// The Unix time that is taken as the current time for discovery's first list if this machine's wall clock is in
+    /// doubt.
     first_list_now_ms: Option<u64>,
 }
 
@@ -76,7 +77,8 @@
     }
 
     /// Prepares for discovery's first list. `suspected_now_ms` is set if this machine's wall clock is in doubt:
-    /// starts that were resolved from the wall clock alone are then forgotten, and the list is read as of that time.
+    /// starts that were resolved from the wall clock alone are then forgotten, and that time is taken as the current
+    /// time for the list.
     pub(super) fn begin_first_list(&mut self, suspected_now_ms: Option<u64>) {
         self.first_list_now_ms = suspected_now_ms;
         if suspected_now_ms.is_some() {
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -102,7 +102,7 @@
     let NodeState {
         placement, config, ..
     } = &mut context.application;
-    placement.apply_settings(config, outcome.previous_class_positions);
+    placement.apply_settings(config, outcome.previous_class_indices);
     log_reload(context, &outcome.pending_restart);
     if has_discovery_address_changed {
         context.send(
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -67,7 +67,7 @@
     /// The cluster agent, after its start; `None` while one of its callbacks runs.
     pub(crate) cluster_agent: Option<Box<ClusterAgent>>,
     /// Requests the transfer of all connections to the successor after the current callback.
-    pub(crate) transfer_requested: bool,
+    pub(crate) is_transfer_requested: bool,
     /// Whether accepting clients has failed and will be retried: connections may wait in the kernel's accept queue, and
     /// the process must not exit before they are answered.
     pub(crate) is_accept_retry_pending: bool,
@@ -89,7 +89,7 @@
             shutdown: None,
             health_checks: HealthChecks::default(),
             cluster_agent: None,
-            transfer_requested: false,
+            is_transfer_requested: false,
             is_accept_retry_pending: false,
             exit_answers_requested: None,
         }
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -17,7 +17,7 @@
 const REQUEST_LINE: &[u8] = b"STATS\r\n";
 /// The maximum length of a response. Guards against an endless one.
 const MAX_RESPONSE_BYTES: usize = 1 << 10;
-/// A server that does not respond within this time is unresponsive.
+/// A check fails if the server does not respond within this time: the server is then assumed to be unresponsive.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection stays open without a check.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a check is in progress.
+/// The progress of the current check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CheckState {
     Idle,
--- a/crates/node/src/upstream/relay.rs
+++ b/crates/node/src/upstream/relay.rs
@@ -174,8 +174,8 @@
                 return Lifecycle::Continue;
             };
             if !can_read {
-                // The socket is readable although no read was requested: the connection broke, unless no error is
-                // pending.
+                // If the socket is reported as readable although no read was requested, a pending error shows that the
+                // connection broke.
                 return match stream.take_error() {
                     Ok(None) => self.pump(context),
                     _ => self.on_side_failed(context, side),
--- a/crates/node/src/upstream/relay/transfer.rs
+++ b/crates/node/src/upstream/relay/transfer.rs
@@ -17,10 +17,10 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::{Duration, Instant};
 
-/// Whether a relay was sent to another process that has not answered yet.
+/// The progress of a relay's transfer to another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferState {
-    /// The relay was not sent.
+    /// No transfer is in progress.
     Idle,
     /// The relay was sent: nothing is read or written until the other process has accepted or refused it.
     Pending,
