--- a/crates/adapter/src/input.rs
+++ b/crates/adapter/src/input.rs
@@ -12,16 +12,16 @@
 /// Number of hexadecimal digits of a request identifier.
 const REQUEST_ID_LENGTH: usize = 16;
 
-/// Upper bound for expected loads, in nanoseconds per second. Loads from here on are ignored as implausible.
+/// Expected loads of this many nanoseconds per second or more are ignored as implausible.
 const MAX_LOAD_NS: f64 = 1e18;
 
-/// Upper bound for observed values. Values from here on are implausible and count as 0.
+/// Observed values at or above this bound, and negative ones, are implausible and count as 0.
 const MAX_OBSERVED_VALUE: f64 = 1e12;
 
-/// Units of an observed load, millionths of a standard core, per core.
+/// Observed loads are in millionths of a standard core.
 const LOAD_UNITS_PER_CORE: f64 = 1e6;
 
-/// Units of an observed delay, milliseconds, per second.
+/// Observed delays are in milliseconds.
 const DELAY_UNITS_PER_SECOND: f64 = 1e3;
 
 /// A line of any operation. The required fields depend on `operation`.
@@ -211,7 +211,8 @@
         })
     }
 
-    /// An observation of an established connection: load in millionths of a core, or message delay in milliseconds.
+    /// Converts an observation of an established connection: load in millionths of a core, or message delay in
+    /// milliseconds. Other kinds are ignored.
     fn observation(self) -> Result<Option<Event>, MessageError> {
         let request = request_id(self.request)?;
         let reported = required(self.value, "Value")?;
@@ -230,7 +231,7 @@
         })
     }
 
-    /// A timer that expired. Handles that no balancer sets are ignored.
+    /// Converts the expiry of a timer. Handles that no balancer sets are ignored.
     fn timer_fired(self) -> Result<Option<Event>, MessageError> {
         let handle = required(self.timer_handle, "Handle")?;
         Ok(Timer::from_handle(handle).map(Event::TimerFired))
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -4,8 +4,9 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// The number of events that are kept for traces, and that one trace shows.
+/// The number of events that are kept for traces.
 const MAX_TRACE_ENTRIES: usize = 4096;
+/// The number of events that one trace shows.
 const SHOWN_TRACE_ENTRIES: usize = 12;
 /// The number of violations that are reported in full; the others are counted.
 const MAX_DETAILED_VIOLATIONS: usize = 20;
@@ -18,9 +19,9 @@
     FinalAnswer,
     /// Attempts of a request do not overlap and stay within their limit.
     Attempts,
-    /// A server receives nothing new after the drain grace.
+    /// A node sends a server no attempt once the drain grace has passed since it learned that the server is leaving.
     Drain,
-    /// No server fails from overload while it is warming up.
+    /// Nodes that know of a server's start do not overload it while it is warming up until it fails.
     Cold,
 }
 
--- a/crates/simulator/src/cli/error.rs
+++ b/crates/simulator/src/cli/error.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a command failed.
+/// An error that ends a command.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
     /// A scenario cannot be read or is invalid. The message has one line per error.
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -40,7 +40,8 @@
     ClientLeaves(u32, Incarnation),
     /// The load of an established connection changes.
     LoadChanges(u32, Incarnation),
-    /// A client receives an answer without a connection: whether it was rejected, and its Retry-After in ms.
+    /// A client receives an answer without a connection. The flag is true for a rejection, and the last field is the
+    /// rejection's Retry-After in ms.
     ClientAnswered(u32, u64, bool, u32),
     /// A node receives a request.
     RequestReceived(u64),
@@ -68,7 +69,7 @@
     DiscoveryUpdated(u32, Incarnation, ServerChange),
     /// A node is notified of changed endpoints.
     NodeNotified(u32, Incarnation),
-    /// A node's call to discovery ends: whether it was answered.
+    /// A node's call to discovery ends. The flag is true if discovery answered it.
     WatchCallEnded(u32, Incarnation, bool),
     /// A fault starts, or its next step does.
     FaultStep(u32, u32),
@@ -82,7 +83,7 @@
     ServerReplaced(u32),
     /// A node starts.
     NodeStarts(u32),
-    /// The front load balancer adds or removes a node.
+    /// The front load balancer adds a node if the flag is true, or removes it.
     FrontUpdated(u32, Incarnation, bool),
     /// Nodes detect that a server is unresponsive.
     UnresponsiveDetected(u32, Incarnation),
--- a/crates/simulator/src/experiments/mod.rs
+++ b/crates/simulator/src/experiments/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns true if zero lies outside the interval.
-    pub fn beyond_noise(&self) -> bool {
+    pub fn excludes_zero(&self) -> bool {
         self.half_width
             .is_some_and(|half_width| self.mean.abs() > half_width)
     }
--- a/crates/simulator/src/experiments/search.rs
+++ b/crates/simulator/src/experiments/search.rs
@@ -11,7 +11,8 @@
 
 /// Minimum fraction of the gap that a simplified scenario must retain.
 const MIN_RETAINED_GAP_RATIO: f64 = 0.8;
-/// Maximum number of simplification rounds. Each round tries every step and applies the first that is good enough.
+/// Maximum number of simplification rounds. Each round tries every simplification and applies the first one that
+/// retains enough of the gap.
 const MAX_SIMPLIFICATION_ROUNDS: usize = 6;
 
 /// A scenario and the gap of the placement module to the best baseline.
@@ -89,7 +90,7 @@
     candidate
 }
 
-/// Returns the candidate with the largest gap of `candidate_count`; `None` if the count is 0.
+/// Evaluates `candidate_count` random candidates and returns the one with the largest gap; `None` if the count is 0.
 pub fn find_worst(
     scenario: &Scenario,
     seed: u64,
--- a/crates/simulator/src/experiments/sweep.rs
+++ b/crates/simulator/src/experiments/sweep.rs
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// If the text is not TOML, if the key has no valid index into an array, or if it leads through a scalar value.
+/// If the text is not TOML, or if a segment of the key is not an index of its array or lies below a scalar value.
 pub fn set(
     file: &str,
     text: &str,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `lupincrank-simulator`: scenarios in simulated time, experiments and plots.
+//! `lupincrank-simulator`: simulates scenarios, runs experiments and plots results.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -11,8 +11,10 @@
 
 /// Collects metrics while the simulation runs. Its memory grows only with the run's length and the number of classes.
 pub struct RunMetrics {
-    /// Connection-seconds requested and served well, by class and second.
+    /// Connection-seconds requested, by class and second.
     demand: Vec<Vec<f64>>,
+    /// Connection-seconds served well, by class and second: each counts by the fraction of its messages that are
+    /// answered within the objective of its class.
     served: Vec<Vec<f64>>,
     message_delays: Vec<Histogram<u64>>,
     message_fractions: Vec<f64>,
@@ -326,7 +328,7 @@
         });
     }
 
-    /// Returns the fraction of the demand in some seconds that was served well, weighted by worth.
+    /// Returns the fraction of the demand in a range of seconds that was served well, weighted by worth.
     fn served_ratio(&self, worths: &[f64], seconds: std::ops::Range<usize>) -> f64 {
         let sum = |counts: &[Vec<f64>]| -> f64 {
             let class = |(class, worth): (usize, &f64)| {
@@ -348,7 +350,7 @@
     fn by_class(&self, scenario: &Scenario) -> Vec<ClassOutcome> {
         let classes = scenario.class.len();
         let seconds = self.demand.first().map_or(0, Vec::len);
-        let only = |class: usize| -> Vec<f64> {
+        let worths_of_one = |class: usize| -> Vec<f64> {
             (0..classes)
                 .map(|other| if other == class { 1.0 } else { 0.0 })
                 .collect()
@@ -357,9 +359,9 @@
             .class
             .iter()
             .enumerate()
-            .map(|(class, named)| ClassOutcome {
-                name: named.name.clone(),
-                service: self.served_ratio(&only(class), 0..seconds),
+            .map(|(class, definition)| ClassOutcome {
+                name: definition.name.clone(),
+                service: self.served_ratio(&worths_of_one(class), 0..seconds),
                 wanted_s: self.demand[class].iter().sum(),
                 message_ms: percentiles(&self.message_delays[class]),
             })
@@ -390,7 +392,7 @@
         let seconds = self.demand.first().map_or(0, Vec::len);
         let whole = self.served_ratio(&worths, 0..seconds);
         let windows = (0..=seconds.saturating_sub(WINDOW_S))
-            .map(|at| self.served_ratio(&worths, at..at + WINDOW_S));
+            .map(|start| self.served_ratio(&worths, start..start + WINDOW_S));
         let worst_window = windows.fold(whole, f64::min);
         let by_class = self.by_class(scenario);
         let worst_class = by_class
--- a/crates/simulator/src/paper.rs
+++ b/crates/simulator/src/paper.rs
@@ -156,7 +156,8 @@
     }
 }
 
-/// Runs the comparison with `key_count` keys on `set_count` random server sets of each size.
+/// Runs the comparison with `key_count` keys on `set_count` random server sets of each size, and calls `done` after
+/// each row.
 pub fn run_comparison(
     key_count: usize,
     set_count: u64,
--- a/crates/simulator/src/plot.rs
+++ b/crates/simulator/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots results as SVG: the time line of a run, a metric of a sweep by its first key, the standard deviations of the
+//! Plots results as SVG: the timeline of a run, a metric of a sweep by its first key, the standard deviations of the
 //! paper's comparison, and costs by fleet size.
 
 use crate::experiments::cost::Cost;
@@ -39,7 +39,7 @@
         scenario: String,
         /// The policy.
         policy: String,
-        /// The time line.
+        /// The timeline.
         timeline: Vec<Sample>,
     },
     /// The results of a sweep.
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -59,7 +59,7 @@
 /// The names of the policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyName {
-    /// The placement crate.
+    /// The placement crate, which results and experiments call the placement module.
     Module,
     /// Any ready server.
     Random,
@@ -134,7 +134,8 @@
     name: PolicyName,
     settings: Settings,
     rng: Pcg32,
-    servers: BTreeMap<ServerId, u32>,
+    /// The servers' indices in `known`.
+    server_indices: BTreeMap<ServerId, u32>,
     /// Each server that was ever in the endpoint list.
     known: Vec<KnownServer>,
     /// The ready servers, as indices into `known`.
@@ -165,7 +166,7 @@
             name,
             settings,
             rng: Pcg32::seed_from_u64(seed),
-            servers: BTreeMap::new(),
+            server_indices: BTreeMap::new(),
             known: Vec::new(),
             ready: Vec::new(),
             requests: HashMap::new(),
@@ -178,7 +179,10 @@
         }
         for entry in entries {
             let next = self.known.len() as u32;
-            let index = *self.servers.entry(entry.server.clone()).or_insert(next);
+            let index = *self
+                .server_indices
+                .entry(entry.server.clone())
+                .or_insert(next);
             if index == next {
                 self.known.push(KnownServer {
                     hash: server_hash(&entry.server),
@@ -305,7 +309,7 @@
         let mut state = Self::new_request_state(incoming);
         state.attempts = 1;
         state.is_established = true;
-        state.server = self.servers.get(server).copied();
+        state.server = self.server_indices.get(server).copied();
         if let Some(index) = state.server {
             self.known[index as usize].connections += 1;
         }
@@ -314,7 +318,7 @@
 
     /// Migrates every connection of a server, in the order of their requests.
     fn migrate_all(&self, server: &ServerId, actions: &mut Vec<Action>) {
-        let Some(index) = self.servers.get(server) else {
+        let Some(index) = self.server_indices.get(server) else {
             return;
         };
         let mut requests: Vec<RequestId> = self
--- a/crates/simulator/src/population.rs
+++ b/crates/simulator/src/population.rs
@@ -1,5 +1,5 @@
-//! The clients of a run: classes, connection durations, loads and groups. Each is drawn from the client's own stream
-//! of random numbers, so that every policy gets the same clients.
+//! The clients of a run: classes, connection durations, loads and groups. Every client draws from its own stream of
+//! random numbers, so that every policy gets the same clients.
 
 use crate::event_queue::{seconds, SimTime};
 use crate::scenario::{Class, Scenario};
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Draws the client with a serial number. An established connection is already under way: long ones are more
-    /// likely, and part of their duration is over.
+    /// Draws the client with the given serial number. If `is_established` is set, its connection is already under way:
+    /// long connections are more likely, and part of their duration is over.
     pub fn draw(&self, serial: u64, is_established: bool) -> ClientDraw {
         let mut rng = stream(self.seed, 1, serial);
         let position: f64 = rng.gen();
@@ -99,14 +99,14 @@
                 .iter()
                 .map(|class| class.share * class.life)
                 .sum();
-            let mut left = rng.gen::<f64>() * total;
+            let mut remaining = rng.gen::<f64>() * total;
             class = self
                 .scenario
                 .class
                 .iter()
                 .position(|class| {
-                    left -= class.share * class.life;
-                    left < 0.0
+                    remaining -= class.share * class.life;
+                    remaining < 0.0
                 })
                 .unwrap_or(0);
         }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -137,7 +137,7 @@
             / mean_life_s
     }
 
-    /// Mean number of established connections at that rate.
+    /// Mean number of established connections at the arrival rate of [`Scenario::rate`].
     pub fn mean_connection_count(&self) -> f64 {
         self.rate() * self.clients.life_s * self.class_mean(|class| class.life)
     }
--- a/crates/simulator/src/scenario/sections.rs
+++ b/crates/simulator/src/scenario/sections.rs
@@ -152,7 +152,7 @@
     Clients {
         /// Offered load as a fraction of the fleet's capacity; used if `rate` is 0.
         load: f64 = 0.5,
-        /// New connections per second.
+        /// New connections per second; 0 to derive the rate from `load`.
         rate: f64 = 0.0,
         /// Factor of the arrival rate over time: pairs of a second and a factor, interpolated linearly.
         shape: Vec<[f64; 2]> = vec![],
@@ -160,7 +160,7 @@
         warm_start: bool = true,
         /// Fraction of these initial connections that are on a random server, not on the top-ranked one.
         start_skew: f64 = 0.1,
-        /// Mean time that a client wants to be connected, s.
+        /// Mean time for which a client requests a connection, s.
         life_s: f64 = 90.0,
         /// Sigma of the log-normal distribution of that time; 0 for an exponential distribution.
         life_sigma: f64 = 1.0,
@@ -198,9 +198,10 @@
         start_capacity: f64 = 0.3,
         /// Duration of the warm-up in the nodes' settings, s.
         cold_s: f64 = 8.7,
-        /// Multiple of its capacity for new connections at which a server in slow start fails, if it lasts `fall_s`.
+        /// Load that makes a server fail during slow start if it lasts `fall_s`, as a multiple of the server's capacity
+        /// for new connections.
         fall_multiple: f64 = 3.0,
-        /// Duration of the overload after which a server in slow start fails, s.
+        /// Duration of that overload after which the server fails, s.
         fall_s: f64 = 3.0,
     }
 }
--- a/crates/simulator/src/server_model.rs
+++ b/crates/simulator/src/server_model.rs
@@ -11,13 +11,13 @@
 /// The state of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It serves its connections and accepts new ones.
+    /// Serves its connections and accepts new ones.
     Up,
-    /// It serves its connections, and accepts nothing new.
+    /// Serves its connections, but accepts no new ones.
     Draining,
-    /// It accepts nothing and answers nothing.
+    /// Accepts no connections and answers no messages.
     Unresponsive,
-    /// It has terminated.
+    /// The process has terminated.
     Down,
 }
 
@@ -42,7 +42,7 @@
     pub zone: u32,
     /// The index of its machine kind in the scenario.
     pub kind_index: usize,
-    /// Its weight in the endpoint list, which stands for its capacity.
+    /// Its weight in the endpoint list, an estimate of its capacity.
     pub weight: f64,
     /// The state of its process.
     pub state: ServerState,
@@ -92,8 +92,8 @@
     pub duration_s: f64,
 }
 
-/// The load sent to a server that is warming up, in mean connection loads. It drains at the rate that the server has
-/// capacity for.
+/// The load sent to a server that is warming up, in units of the mean connection load. It drains at the rate that the
+/// server has capacity for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WarmUpLoad {
     /// All of it.
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Returns the fraction of its capacity that it has so far: it grows linearly from the start.
+    /// Returns the fraction of the warm capacity that the server has so far. It grows linearly from `cold_from` at the
+    /// start to 1 after `cold_s`.
     pub fn capacity_ratio(&self, now: SimTime) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -328,9 +329,10 @@
         work / (core_speed * spare_ratio) + self.backlog / self.capacity(now)
     }
 
-    /// Counts load sent to a server that is warming up; returns true if it overloads the server. The server can accept
-    /// `factor` times its capacity for `window_s` seconds: a bucket drains at that rate and holds as much as arrives
-    /// in that time. Its capacity for new connections is the load that would fill it over the warm-up.
+    /// Adds load sent to a server that is warming up to a leaky bucket; returns true if the load overloads the server,
+    /// which means that the bucket overflows. The bucket drains at `factor` times the server's capacity for new
+    /// connections, and holds what drains in `window_s` seconds. The capacity for new connections is the load that
+    /// would fill the server over the warm-up.
     pub fn add_warm_up_load(
         &mut self,
         now: SimTime,
@@ -354,7 +356,7 @@
         self.warm_up_load.from_informed_nodes *= remaining_ratio;
         self.warm_up_load.from_informed_nodes += if is_informed { load } else { 0.0 };
         self.warm_up_load.updated_at = now;
-        // Two mean connections of slack for randomness.
+        // The bucket holds two mean connections more, as slack for randomness.
         self.warm_up_load.total > rate * window_s + 2.0
     }
 
--- a/crates/simulator/src/world/attempts.rs
+++ b/crates/simulator/src/world/attempts.rs
@@ -21,7 +21,7 @@
         self.record("sent", node, request, server);
         let current = self.client_of(request).filter(|client| {
             let state = &self.clients[*client as usize];
-            state.phase == Phase::Requesting && !state.answered && state.node == node
+            state.phase == Phase::Requesting && !state.is_answered && state.node == node
         });
         let (Some(client), Some(server)) = (current, server) else {
             let what =
@@ -117,7 +117,7 @@
         let client = self.client_of(request)?;
         let state = &self.clients[client as usize];
         let is_pending =
-            state.phase == Phase::Requesting && !state.answered && state.server.is_some();
+            state.phase == Phase::Requesting && !state.is_answered && state.server.is_some();
         (is_pending && state.attempts == attempt + 1).then_some(client)
     }
 
@@ -167,7 +167,7 @@
             return; // its server terminated meanwhile
         }
         state.phase = Phase::Connected;
-        state.answered = true;
+        state.is_answered = true;
         state.failures = 0;
         state.retries = 0;
         let (node, server) = (state.node, state.server);
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -30,15 +30,15 @@
         shaped * self.arrival_factors.iter().product::<f64>()
     }
 
-    /// Returns the highest arrival factor that the scenario can reach. Arrivals are drawn at that rate and thinned to
-    /// the current one, so that they do not depend on what policies do.
+    /// Returns the highest arrival factor that the scenario can reach. Arrivals are drawn at the corresponding rate
+    /// and thinned to the current one, so that they do not depend on what policies do.
     fn max_arrival_factor(&self) -> f64 {
         let shaped = self
             .scenario
             .clients
             .shape
             .iter()
-            .map(|[_, times]| *times)
+            .map(|[_, factor]| *factor)
             .fold(1.0, f64::max);
         let surges = self
             .scenario
@@ -103,7 +103,7 @@
             attempts: 0,
             server: None,
             sent_at: 0,
-            answered: true,
+            is_answered: true,
             connection_index: NOT_CONNECTED,
         };
         let index = if let Some(index) = self.free_client_slots.pop() {
@@ -167,14 +167,14 @@
         (self.requests << 24) | u64::from(index)
     }
 
-    /// Selects the node that the front load balancer assigns to a client: one of its zone, or any if the front lists
-    /// none there.
+    /// Selects the node that the front load balancer assigns to a client: one of its zone, or any if the front load
+    /// balancer lists none there.
     pub(super) fn select_node(&mut self, index: u32) -> Option<u32> {
         let zone = self.clients[index as usize].zone;
         let count = |in_zone_only: bool| {
             self.nodes
                 .iter()
-                .filter(|node| node.listed_by_front && (!in_zone_only || node.zone == zone))
+                .filter(|node| node.is_listed_by_front && (!in_zone_only || node.zone == zone))
                 .count()
         };
         let (in_zone, anywhere) = (count(true), count(false));
@@ -184,7 +184,7 @@
         let rng = &mut self.clients[index as usize].rng;
         let chosen = rng.gen_range(0..if in_zone > 0 { in_zone } else { anywhere });
         let is_candidate =
-            |node: &super::Node| node.listed_by_front && (in_zone == 0 || node.zone == zone);
+            |node: &super::Node| node.is_listed_by_front && (in_zone == 0 || node.zone == zone);
         let mut candidates = self
             .nodes
             .iter()
@@ -220,14 +220,14 @@
         client.requested_at = self.now;
         client.attempts = 0;
         client.server = None;
-        client.answered = false;
+        client.is_answered = false;
         let delay = jittered(&mut client.rng, mean, jitter);
         if self.nodes[node as usize].is_running {
             self.queue
                 .schedule(self.now + delay, SimulationEvent::RequestReceived(request));
         } else {
             // The node's process has terminated but the front still lists it: the connection is refused.
-            self.clients[index as usize].answered = true;
+            self.clients[index as usize].is_answered = true;
             self.queue.schedule(
                 self.now + delay * 2,
                 SimulationEvent::ClientAnswered(index, request, false, 0),
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Handles a connection that ended before the client left: it reconnects after a break or a migration.
+    /// Handles a connection that ended before the client left: the client reconnects after a break or a migration.
     pub(super) fn connection_lost(&mut self, index: u32, is_migrated: bool) {
         let settings = &self.scenario.clients;
         let client = &mut self.clients[index as usize];
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -56,7 +56,7 @@
     pub(super) fn watch_endpoints(&mut self, node: u32) {
         let incarnation = self.nodes[node as usize].incarnation;
         let timeout = seconds(self.scenario.discovery.timeout_s);
-        if self.discovery.down {
+        if self.discovery.is_down {
             let ends_at = self.now + seconds(0.05);
             return self.queue.schedule(
                 ends_at,
@@ -79,12 +79,17 @@
     }
 
     /// Ends a node's call to discovery.
-    pub(super) fn watch_call_ended(&mut self, node: u32, incarnation: Incarnation, answered: bool) {
+    pub(super) fn watch_call_ended(
+        &mut self,
+        node: u32,
+        incarnation: Incarnation,
+        is_answered: bool,
+    ) {
         let state = &self.nodes[node as usize];
         if !state.is_running || state.incarnation != incarnation {
             return;
         }
-        if !answered || self.discovery.down {
+        if !is_answered || self.discovery.is_down {
             return self.deliver_event(node, Event::EndpointWatchFailed);
         }
         self.nodes[node as usize].is_watching = true;
@@ -116,7 +121,7 @@
         incarnation: Incarnation,
         change: ServerChange,
     ) {
-        if self.discovery.stale {
+        if self.discovery.is_stale {
             return self
                 .discovery
                 .deferred_changes
@@ -127,7 +132,8 @@
             ServerChange::Draining => Health::Draining,
             ServerChange::Removed => Health::Removed,
         };
-        // A change is dropped if the server has started again since.
+        // Termination and restart each increment the incarnation. A removal that was scheduled before the termination
+        // is dropped if the server has restarted since; any other change is dropped if the server has terminated since.
         let current = self.fleet[server as usize].incarnation;
         if change != ServerChange::Removed && current != incarnation {
             return;
@@ -157,23 +163,23 @@
         }
     }
 
-    /// Sets discovery down: watches end, and calls fail until it is up again.
-    pub(super) fn set_discovery_down(&mut self, down: bool) {
-        self.discovery.down = down;
+    /// Sets whether discovery is down: watches end when it goes down, and calls fail until it is up again.
+    pub(super) fn set_discovery_down(&mut self, is_down: bool) {
+        self.discovery.is_down = is_down;
         for node in 0..self.nodes.len() as u32 {
             let state = &mut self.nodes[node as usize];
-            if down && state.is_running && std::mem::take(&mut state.is_watching) {
+            if is_down && state.is_running && std::mem::take(&mut state.is_watching) {
                 self.deliver_event(node, Event::EndpointWatchFailed);
             }
         }
     }
 
-    /// Sets discovery stale: changes are deferred until it recovers.
-    pub(super) fn set_discovery_stale(&mut self, stale: bool) {
-        self.discovery.stale = stale;
+    /// Sets whether discovery is stale: changes are deferred until it recovers.
+    pub(super) fn set_discovery_stale(&mut self, is_stale: bool) {
+        self.discovery.is_stale = is_stale;
         let missed = std::mem::take(&mut self.discovery.deferred_changes);
         for (server, incarnation, change) in missed {
-            if !stale {
+            if !is_stale {
                 self.queue.schedule(
                     self.now + SECOND / 100,
                     SimulationEvent::DiscoveryUpdated(server, incarnation, change),
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -38,15 +38,15 @@
 /// The state of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It has no connection and will reconnect.
+    /// Neither a connection nor a request at a node.
     Disconnected,
-    /// A node handles its request.
+    /// A node handles the client's request.
     Requesting,
-    /// Its connection is established.
+    /// The client's connection is established.
     Connected,
 }
 
-/// A client, which wants one connection, and its current request.
+/// A client, which uses at most one connection at a time, and its current request.
 struct Client {
     incarnation: Incarnation,
     /// The number of connections established in this client slot. Events scheduled for an earlier one are ignored.
@@ -69,12 +69,14 @@
     node: u32,
     node_incarnation: Incarnation,
     requested_at: SimTime,
-    /// Attempts of this request, the server of the running attempt or connection, the start of that attempt, and
-    /// whether the final answer was sent.
+    /// The number of attempts of the current request.
     attempts: u32,
+    /// The server of the running attempt or of the connection.
     server: Option<u32>,
+    /// The start of the latest attempt.
     sent_at: SimTime,
-    answered: bool,
+    /// Whether the request needs no further answer: it was answered, or its client gave it up.
+    is_answered: bool,
     /// The index of its connection at the server, or `NOT_CONNECTED`.
     connection_index: u32,
 }
@@ -84,7 +86,7 @@
     zone: u32,
     incarnation: Incarnation,
     is_running: bool,
-    listed_by_front: bool,
+    is_listed_by_front: bool,
     policy: Box<dyn Policy>,
     is_watching: bool,
     /// The number of entries of discovery's change log that it has received.
@@ -102,8 +104,8 @@
     endpoints: Vec<Endpoint>,
     change_log: Vec<Endpoint>,
     busy_until: SimTime,
-    down: bool,
-    stale: bool,
+    is_down: bool,
+    is_stale: bool,
     deferred_changes: Vec<(u32, Incarnation, crate::event_queue::ServerChange)>,
 }
 
@@ -241,8 +243,8 @@
                 endpoints: Vec::new(),
                 change_log: Vec::new(),
                 busy_until: 0,
-                down: false,
-                stale: false,
+                is_down: false,
+                is_stale: false,
                 deferred_changes: Vec::new(),
             },
             arrival_factors: vec![1.0; scenario.faults.len()],
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -27,7 +27,7 @@
             zone,
             incarnation: 0,
             is_running: false,
-            listed_by_front: false,
+            is_listed_by_front: false,
             policy,
             is_watching: false,
             notified_changes: 0,
@@ -36,7 +36,7 @@
             recent_setups: VecDeque::new(),
         });
         self.start_node(index);
-        self.nodes[index as usize].listed_by_front = true;
+        self.nodes[index as usize].is_listed_by_front = true;
     }
 
     fn new_policy(&self, node: u32, incarnation: Incarnation) -> Box<dyn crate::policy::Policy> {
@@ -89,10 +89,10 @@
                     self.release(client);
                     self.connection_lost(client, false);
                 }
-                Phase::Requesting if !state.answered => {
+                Phase::Requesting if !state.is_answered => {
                     let request = state.request;
                     self.release(client);
-                    self.clients[client as usize].answered = true;
+                    self.clients[client as usize].is_answered = true;
                     self.queue.schedule(
                         self.now + millis(1.0),
                         SimulationEvent::ClientAnswered(client, request, false, 0),
@@ -106,7 +106,7 @@
     pub(super) fn update_front(&mut self, node: u32, incarnation: Incarnation, is_listed: bool) {
         let node = &mut self.nodes[node as usize];
         if node.incarnation == incarnation && node.is_running == is_listed {
-            node.listed_by_front = is_listed;
+            node.is_listed_by_front = is_listed;
         }
     }
 
@@ -226,7 +226,7 @@
         let deadline = state.deadline;
         if !self.is_node_running_for(state) {
             // The process terminated while the request was in transit.
-            self.clients[client as usize].answered = true;
+            self.clients[client as usize].is_answered = true;
             return self.queue.schedule(
                 self.now + millis(1.0),
                 SimulationEvent::ClientAnswered(client, request, false, 0),
@@ -261,7 +261,7 @@
         ) = (request, node, incarnation, Phase::Connected);
         state.attempts = 1;
         state.server = Some(server);
-        state.answered = true;
+        state.is_answered = true;
         state.sent_at = self.now;
         self.add_connection(client, server);
         let incoming = self.request_info(client);
@@ -309,7 +309,7 @@
         if state.phase != Phase::Requesting || state.node != node {
             return;
         }
-        if state.answered {
+        if state.is_answered {
             let what = "a second final answer".to_string();
             return self.checker.report(
                 Rule::FinalAnswer,
@@ -321,7 +321,7 @@
         self.metrics.failed_requests += 1;
         let has_attempt = state.server.is_some();
         let attempt = state.attempts.saturating_sub(1);
-        self.clients[client as usize].answered = true;
+        self.clients[client as usize].is_answered = true;
         if has_attempt {
             self.release(client);
             self.deliver_attempt_end(EndedAttempt {
@@ -345,7 +345,7 @@
             return;
         };
         let state = &self.clients[client as usize];
-        if state.phase != Phase::Requesting || state.answered {
+        if state.phase != Phase::Requesting || state.is_answered {
             return;
         }
         self.record("overdue", state.node, request, state.server);
@@ -357,7 +357,7 @@
             what,
         );
         self.client_disconnected(client);
-        self.clients[client as usize].answered = true;
+        self.clients[client as usize].is_answered = true;
         self.queue.schedule(
             self.now + 1,
             SimulationEvent::ClientAnswered(client, request, false, 0),
@@ -369,12 +369,12 @@
         let state = &self.clients[client as usize];
         let node = state.node;
         let request = state.request;
-        if state.answered || !self.is_node_running_for(state) {
+        if state.is_answered || !self.is_node_running_for(state) {
             return;
         }
         let has_attempt = state.server.is_some();
         let attempt = state.attempts.saturating_sub(1);
-        self.clients[client as usize].answered = true;
+        self.clients[client as usize].is_answered = true;
         self.release(client);
         self.deliver_event(node, Event::ClientDisconnected(RequestId(request)));
         if has_attempt {
--- a/crates/simulator/src/world/observations.rs
+++ b/crates/simulator/src/world/observations.rs
@@ -7,9 +7,11 @@
 use lupincrank_placement::{Event, RequestId};
 use std::time::Duration;
 
-/// The number of recent setups that a node compares a setup with, and the multiple of their median that is long.
+/// The number of recent setups with which a node compares a setup.
 const REMEMBERED_SETUPS: usize = 63;
+/// With fewer recent setups, a node reports no long setups.
 const MIN_REMEMBERED_SETUPS: usize = 8;
+/// A setup is long if it takes more than this multiple of the median of the recent setups.
 const LONG_SETUP_FACTOR: u64 = 3;
 
 impl World<'_> {
@@ -47,7 +49,8 @@
     }
 
     /// Reports message delays once a second: for each server with late messages, on one connection per node, and once
-    /// more when its messages are in time again.
+    /// more when its messages are in time again. Messages are late if their delay exceeds a third of the smallest
+    /// message objective.
     pub(super) fn report_message_delays(&mut self) {
         if self.scenario.nodes.delays != DelayVisibility::All {
             return;
@@ -98,7 +101,7 @@
     }
 
     /// Reports an unresponsive server: each node with several connections reports the server, and each remaining
-    /// connection is reported as well.
+    /// connection is reported as well. The reports repeat every second.
     pub(super) fn detect_unresponsive_server(&mut self, server: u32, incarnation: Incarnation) {
         let model = &self.fleet[server as usize];
         if model.state != ServerState::Unresponsive || model.incarnation != incarnation {
--- a/crates/simulator/src/world/servers.rs
+++ b/crates/simulator/src/world/servers.rs
@@ -22,16 +22,17 @@
         let kinds = self.scenario.fleet.kind.clone();
         let total_share: f64 = kinds.iter().map(|kind| kind.share).sum();
         let count = self.scenario.fleet.transcribers;
-        let mut owed = vec![0.0; kinds.len()];
+        let mut share_deficits = vec![0.0; kinds.len()];
         for index in 0..count {
             // Machine kinds alternate by their shares, so that a small fleet has them in the right proportion.
-            owed.iter_mut()
+            share_deficits
+                .iter_mut()
                 .zip(&kinds)
-                .for_each(|(owed, kind)| *owed += kind.share / total_share);
+                .for_each(|(deficit, kind)| *deficit += kind.share / total_share);
             let kind = (0..kinds.len())
-                .max_by(|a, b| owed[*a].total_cmp(&owed[*b]))
+                .max_by(|a, b| share_deficits[*a].total_cmp(&share_deficits[*b]))
                 .unwrap_or(0);
-            owed[kind] -= 1.0;
+            share_deficits[kind] -= 1.0;
             self.add_server(index % self.scenario.net.zones, kind, None);
         }
         self.discovery.endpoints = (0..count)
@@ -187,10 +188,10 @@
             return;
         };
         let state = &self.clients[client as usize];
-        if state.attempts != attempt + 1 || state.server != Some(index) || state.answered {
+        if state.attempts != attempt + 1 || state.server != Some(index) || state.is_answered {
             return; // cancelled on its way
         }
-        let (node, class, sent) = (state.node, state.class, state.sent_at);
+        let (node, class, sent_at) = (state.node, state.class, state.sent_at);
         let zone = self.nodes[node as usize].zone;
         self.advance(index);
         let delay = self.network_delay(zone, self.fleet[index as usize].zone);
@@ -201,11 +202,11 @@
                 SimulationEvent::AttemptEnded(request, attempt, outcome),
             );
         };
-        let timeout = sent + millis(self.scenario.nodes.connect_timeout_ms);
+        let times_out_at = sent_at + millis(self.scenario.nodes.connect_timeout_ms);
         let count = server.clients.len() as u32 + server.setups + server.queued_setups.len() as u32;
         match server.state {
             ServerState::Unresponsive => {
-                return fail(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
+                return fail(self, times_out_at.max(self.now + 1), Outcome::ConnectFailed)
             }
             ServerState::Down => return fail(self, self.now + delay, Outcome::ConnectFailed),
             ServerState::Up | ServerState::Draining if server.incarnation != incarnation => {
@@ -213,7 +214,7 @@
             }
             ServerState::Draining => return fail(self, self.now + delay, Outcome::Rejected),
             ServerState::Up if count >= server.connection_limit() => {
-                return fail(self, timeout.max(self.now + 1), Outcome::ConnectFailed)
+                return fail(self, times_out_at.max(self.now + 1), Outcome::ConnectFailed)
             }
             ServerState::Up => {}
         }
@@ -221,7 +222,7 @@
         if self.fleet[index as usize].state != ServerState::Up {
             return; // the server failed from overload, which ended its attempts
         }
-        let (setup_slots, max_pending) = (
+        let (setup_slots, max_queued_setups) = (
             self.fleet[index as usize].setup_slots(),
             self.fleet[index as usize].machine_kind().queue,
         );
@@ -238,14 +239,15 @@
         let server = &mut self.fleet[index as usize];
         if server.setups < setup_slots {
             self.begin_setup(index, setup);
-        } else if (server.queued_setups.len() as u32) < max_pending {
+        } else if (server.queued_setups.len() as u32) < max_queued_setups {
             server.queued_setups.push_back(setup);
         } else {
             fail(self, self.now + delay, Outcome::Rejected);
         }
     }
 
-    /// Counts the load sent to a server that is warming up, and terminates it if that is an overload.
+    /// Counts the load sent to a server that is warming up, and terminates the server if the load overloads it. That is
+    /// a violation only if nodes that had been notified of its start sent at least two thirds of the load.
     fn check_warm_up_overload(&mut self, index: u32, node: u32, class: usize) {
         let known_incarnation = self.nodes[node as usize]
             .known_starts
@@ -362,7 +364,7 @@
         let client = self.client_of(request)?;
         let state = &self.clients[client as usize];
         let is_pending =
-            state.phase == Phase::Requesting && !state.answered && state.server == Some(index);
+            state.phase == Phase::Requesting && !state.is_answered && state.server == Some(index);
         (is_pending && state.attempts == attempt + 1).then_some(client)
     }
 
@@ -374,13 +376,13 @@
         {
             return;
         }
-        let mut newest: Vec<(SimTime, u32)> = server
+        let mut clients_by_start: Vec<(SimTime, u32)> = server
             .clients
             .iter()
             .map(|client| (self.clients[*client as usize].sent_at, *client))
             .collect();
-        newest.sort_unstable();
-        while let Some((_, client)) = newest.pop() {
+        clients_by_start.sort_unstable();
+        while let Some((_, client)) = clients_by_start.pop() {
             let server = &self.fleet[index as usize];
             if server.load() <= server.capacity(self.now) * SHED_TARGET_RATIO {
                 break;
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker reports each policy that breaks a rule on purpose, and no violation of one that does not.
+//! The checker reports a violation for each policy that breaks a rule on purpose, and none for the placement crate.
 
 use lupincrank_placement::{
     Action, Balancer, Event, Health, RequestId, ServerId, Settings, Timestamp,
@@ -16,17 +16,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Misbehaviour {
     Nothing,
-    /// It leaves every seventh request unanswered.
+    /// Leaves every seventh request unanswered.
     DropsRequests,
-    /// It answers each rejected request twice.
+    /// Answers each rejected request twice.
     AnswersTwice,
-    /// It starts two attempts at once, to the same server.
+    /// Starts two attempts at once, to the same server.
     StartsTwoAttempts,
-    /// It retries every attempt that ended, beyond the limit.
+    /// Retries every attempt that ended, beyond the limit.
     RetriesForever,
-    /// It prefers servers that are leaving.
+    /// Prefers servers that are leaving.
     PrefersDraining,
-    /// It sends everything to the server that started last.
+    /// Sends everything to the server that started last.
     PrefersLastStarted,
 }
 
@@ -36,14 +36,14 @@
     balancer: Balancer,
     draining: BTreeSet<ServerId>,
     started: Vec<ServerId>,
-    listed: BTreeSet<ServerId>,
+    known_servers: BTreeSet<ServerId>,
 }
 
 impl MisbehavingPolicy {
     fn observe_endpoints(&mut self, event: &Event) {
         if let Event::EndpointList { entries, .. } | Event::EndpointChange(entries) = event {
             for entry in entries {
-                self.listed.insert(entry.server.clone());
+                self.known_servers.insert(entry.server.clone());
                 if entry.health == Health::Draining {
                     self.draining.insert(entry.server.clone());
                 }
@@ -103,13 +103,13 @@
             } => Some(*request),
             _ => None,
         };
-        let from = actions.len();
+        let previous_len = actions.len();
         self.balancer.handle(now, event, actions);
-        let mut extra = self.redirect_attempts(&mut actions[from..]);
+        let mut extra = self.redirect_attempts(&mut actions[previous_len..]);
         if let (Misbehaviour::RetriesForever, Some(request), Some(server)) =
-            (self.misbehaviour, ended, self.listed.first())
+            (self.misbehaviour, ended, self.known_servers.first())
         {
-            actions.truncate(from);
+            actions.truncate(previous_len);
             let timeout = Duration::from_millis(30);
             extra.push(Action::StartAttempt {
                 request,
@@ -119,7 +119,7 @@
         }
         let is_rejection = |action: &&Action| matches!(action, Action::Reject { .. });
         if self.misbehaviour == Misbehaviour::AnswersTwice {
-            extra.extend(actions[from..].iter().filter(is_rejection).cloned());
+            extra.extend(actions[previous_len..].iter().filter(is_rejection).cloned());
         }
         actions.extend(extra);
         if self.misbehaviour == Misbehaviour::DropsRequests {
@@ -162,7 +162,7 @@
             balancer: Balancer::new(settings, seed),
             draining: BTreeSet::new(),
             started: Vec::new(),
-            listed: BTreeSet::new(),
+            known_servers: BTreeSet::new(),
         })
     };
     run_with_policy(&scenario(), 3, "faulty", false, &create_policy)
--- a/crates/simulator/tests/closed_forms.rs
+++ b/crates/simulator/tests/closed_forms.rs
@@ -1,5 +1,5 @@
-//! The simulator against queueing theory: systems without a queue block by Erlang B, systems with a queue wait by
-//! Erlang C.
+//! The simulator against queueing theory: without a queue, the blocking probability follows Erlang B; with a queue, the
+//! delay probability and the mean wait follow Erlang C.
 
 use lupincrank_simulator::policy::PolicyName;
 use lupincrank_simulator::scenario::{parse, Scenario};
@@ -16,7 +16,7 @@
     })
 }
 
-/// The probability that an arrival waits.
+/// The probability that an arrival waits, for an offered load in channels.
 fn erlang_c(load: f64, channels: u32) -> f64 {
     let (blocked, utilization) = (erlang_b(load, channels), load / f64::from(channels));
     blocked / (1.0 - utilization * (1.0 - blocked))
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -1,5 +1,5 @@
-//! Runs repeat to the byte, memory and events stay bounded, and errors in a scenario file are reported with their
-//! place.
+//! Runs repeat to the byte, the event queue and the number of events stay bounded, and errors in a scenario file are
+//! reported with their location.
 
 use lupincrank_simulator::experiments::{compare, search, sweep, Estimate};
 use lupincrank_simulator::policy::PolicyName;
@@ -27,12 +27,12 @@
             .build()
             .expect("a thread pool");
         pool.install(|| {
-            let sides = compare::compare(&scenario, &PolicyName::ALL, 1..4, || ());
+            let comparison = compare::compare(&scenario, &PolicyName::ALL, 1..4, || ());
             let runs: Vec<_> = PolicyName::ALL
                 .iter()
                 .map(|name| run_scenario(&scenario, 7, *name))
                 .collect();
-            serde_json::to_string(&(sides, runs)).expect("results are JSON")
+            serde_json::to_string(&(comparison, runs)).expect("results are JSON")
         })
     };
     assert_eq!(bytes(1), bytes(4));
@@ -198,9 +198,10 @@
     let narrow = Estimate::of(&[1.0, 1.1, 0.9, 1.0]);
     let wide = Estimate::of(&[1.0, 3.0, -1.0, 1.0]);
     assert!(
-        narrow.beyond_noise() && !wide.beyond_noise(),
+        narrow.excludes_zero() && !wide.excludes_zero(),
         "{narrow:?} {wide:?}"
     );
-    // Student's t for three degrees of freedom is 3.182; the deviation of the first is 0.0816 over a root of 4.
+    // The 97.5% quantile of Student's t is 3.182 for three degrees of freedom. The standard deviation of `narrow` is
+    // 0.0816, divided by the square root of its 4 values.
     assert!((narrow.half_width.expect("several values") - 3.182 * 0.0816 / 2.0).abs() < 1e-3);
 }
