--- a/crates/node/src/config/limits.rs
+++ b/crates/node/src/config/limits.rs
@@ -15,8 +15,8 @@
 const BUFFER_MEMORY_DIVISOR: usize = 2;
 /// The number of full buffers assumed for each client.
 const BUFFERS_PER_CLIENT: usize = 4;
-/// Bounds of the bytes buffered for one direction of a connection: two lines of the maximum length, and the data of one
-/// read.
+/// Bounds of the bytes buffered for one direction of a connection: two lines of the maximum length (4 KiB each), and the
+/// bytes that a relay reads from one side in two turns of the event loop (32 KiB each).
 const MIN_BUFFERED_BYTES: usize = 8 << 10;
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
 /// Bounds of the new connections accepted in one turn of the loop; the maximum is for a whole core.
--- a/crates/scale/src/cli.rs
+++ b/crates/scale/src/cli.rs
@@ -24,32 +24,32 @@
 pub(crate) enum Command {
     /// Run a cluster.
     Run(RunArguments),
-    /// Fit laws to the figures of several outcomes.
+    /// Fit models to the metrics of several outcomes.
     Fit {
         svg: Option<PathBuf>,
         size: f64,
         files: Vec<PathBuf>,
     },
-    /// Serve as a process of hollow nodes.
+    /// Run as a process of hollow nodes.
     Host { numbers: Vec<u64> },
 }
 
 fn nodes() -> impl Parser<usize> {
     long("nodes")
-        .help("All nodes, 4 to 1000")
+        .help("Number of nodes, 4 to 1000")
         .argument::<usize>("N")
 }
 
 fn real() -> impl Parser<usize> {
     long("real")
-        .help("Those of them that are processes of the program")
+        .help("Number of nodes that are processes of the program; the others are hollow")
         .argument::<usize>("N")
         .fallback(5)
 }
 
 fn expected() -> impl Parser<Option<usize>> {
     long("expected")
-        .help("How many the operator's file names; all if it is not said")
+        .help("Number of nodes that the operator's file lists; all by default")
         .argument::<usize>("N")
         .optional()
 }
@@ -78,25 +78,35 @@
     let nodes = nodes();
     let real = real();
     let expected = expected();
-    let seconds = number_with_default("seconds", "How long costs are measured", "S", 20.0);
-    let settle_help = "How long it may take until all take part";
+    let seconds = number_with_default(
+        "seconds",
+        "Duration of the measurement in seconds",
+        "S",
+        20.0,
+    );
+    let settle_help = "Maximum time until the cluster is ready, in seconds";
     let settle = number_with_default("settle", settle_help, "S", 120.0);
-    let loss = number_with_default("loss", "The part of messages that is lost", "P", 0.0);
+    let loss = number_with_default(
+        "loss",
+        "Fraction of messages that the proxies drop or delay",
+        "P",
+        0.0,
+    );
     let seed = long("seed")
-        .help("What is drawn is drawn from this")
+        .help("Seed of the random number generators")
         .argument::<u64>("N")
         .fallback(1);
     let json = long("json")
-        .help("Where the outcome goes")
+        .help("File for the outcome")
         .argument::<PathBuf>("OUT")
         .optional();
     let program = long("program")
-        .help("The program; lupincrank beside this one if it is not said")
+        .help("Program of the real nodes; by default lupincrank in the directory of this program")
         .argument::<String>("PATH")
         .optional();
-    let max_bytes_help = "A bound on the bytes that the leader sends in a second";
+    let max_bytes_help = "Maximum bytes per second that the leader sends, on average";
     let max_bytes = optional_bound("most-bytes", max_bytes_help, "B");
-    let max_messages_help = "A bound on the messages that any hollow node sends in a second";
+    let max_messages_help = "Maximum messages per second that a hollow node sends, on average";
     let max_messages = optional_bound("most-messages", max_messages_help, "M");
     construct!(RunArguments {
         nodes,
@@ -116,25 +126,25 @@
 fn run_command() -> impl Parser<Command> {
     construct!(Command::Run(run_arguments()))
         .to_options()
-        .descr("Run one fleet; the exit code is 1 if a bound did not hold")
+        .descr("Run a cluster; the exit code is 1 if a bound is exceeded or a rule is violated")
         .command("run")
 }
 
 fn fit_command() -> impl Parser<Command> {
     let svg = long("svg")
-        .help("Draw them here")
+        .help("File for a picture of the metrics and the fitted models")
         .argument::<PathBuf>("FILE")
         .optional();
     let size = long("at")
-        .help("The size that lines are carried on to")
+        .help("Cluster size to which the models are extrapolated")
         .argument::<f64>("N")
         .fallback(2_100.0);
     let files = positional::<PathBuf>("OUT")
-        .help("Outcomes of runs, as --json wrote them")
-        .some("no outcome is named");
+        .help("Outcomes of runs, as written by --json")
+        .some("no outcome file given");
     construct!(Command::Fit { svg, size, files })
         .to_options()
-        .descr("Lay lines through the figures of several sizes")
+        .descr("Fit models to the metrics of several cluster sizes")
         .command("fit")
 }
 
@@ -142,16 +152,16 @@
     let numbers = positional::<u64>("NUMBER").many();
     construct!(Command::Host { numbers })
         .to_options()
-        .descr("Hold hollow nodes, for a run that begins this")
+        .descr("Run hollow nodes; started by a run")
         .command("host")
 }
 
-/// The parser of the whole command line.
+/// Returns the parser of the command line.
 pub(crate) fn parser() -> OptionParser<Command> {
     let run = run_command();
     let fit = fit_command();
     let host = host_command();
     construct!([run, fit, host])
         .to_options()
-        .descr("lupincrank-scale: what control costs by the size of the fleet")
+        .descr("lupincrank-scale: cost of the control plane by cluster size")
 }
--- a/crates/scale/src/counting_proxy/counted_stream.rs
+++ b/crates/scale/src/counting_proxy/counted_stream.rs
@@ -1,4 +1,4 @@
-//! One stream through a proxy, with the messages of both directions counted.
+//! One stream through a proxy. Bytes and messages of both directions are counted.
 
 use super::{DeadlineKind, ProxyContext, ProxyState};
 use lupincrank_cluster::frame::FrameDecoder;
@@ -10,13 +10,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Limit of the buffered bytes of each direction.
+/// Number of buffered bytes of one direction at which reading from its source stops.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Reads in one turn of the loop, and bytes of each.
+/// Maximum number of reads in one turn of the event loop, and the size of each.
 const MAX_READS_PER_TURN: usize = 4;
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes of a stream that are lost arrive so much later, for each time: the least that Linux waits before it sends them
-/// again.
+/// Delay of a stream chunk for each time that it is lost: the minimum retransmission timeout of Linux.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
 /// Bytes and messages.
@@ -26,14 +25,14 @@
     messages: u64,
 }
 
-/// One end of the stream, with what was read from it.
+/// One end of the stream, with the bytes read from it.
 struct End {
     stream: Registered<TcpStream>,
     relay: StreamRelay,
     decoder: FrameDecoder,
-    /// Bytes that can't be decoded are only passed on.
+    /// The bytes can't be decoded: they are relayed without counting messages.
     is_undecodable: bool,
-    /// What is not counted yet, because the dialer is not known.
+    /// Traffic that is not counted yet, because the dialer is unknown.
     uncounted: Traffic,
 }
 
@@ -48,7 +47,7 @@
         }
     }
 
-    /// Decodes the messages in bytes; `on_message` gets each. False if they can't be decoded.
+    /// Decodes the messages in bytes and calls `on_message` for each. Returns false if the bytes can't be decoded.
     fn decode(&mut self, bytes: &[u8], mut on_message: impl FnMut(Message)) -> bool {
         self.decoder.push(bytes);
         loop {
@@ -68,7 +67,7 @@
 pub(super) struct CountedStream {
     id: ComponentId,
     node: usize,
-    /// The node that dialed, once its handshake is read.
+    /// The node that dialed; `None` until its handshake is decoded.
     dialing_node: Option<usize>,
     dialer: End,
     target: End,
@@ -76,7 +75,7 @@
 }
 
 impl CountedStream {
-    /// Dials the node for an accepted stream, and registers both.
+    /// Dials the node for an accepted stream, and registers both sockets.
     pub(super) fn open(
         context: &mut ProxyContext,
         node: usize,
@@ -192,7 +191,7 @@
         for side in Side::BOTH {
             self.write_due(context, side)?;
         }
-        // An end of either side is one of the connection: both parties use both directions.
+        // An end of one direction ends the connection: nodes use both directions.
         if self.dialer.relay.is_target_shut_down() || self.target.relay.is_target_shut_down() {
             return Ok(Lifecycle::Close);
         }
--- a/crates/scale/src/counting_proxy/counters.rs
+++ b/crates/scale/src/counting_proxy/counters.rs
@@ -1,8 +1,8 @@
-//! Counters of the traffic of all nodes, which the run reads while the proxies write them.
+//! Traffic counters of all nodes, which the run reads while the proxies update them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What one node has sent and received, as the proxies saw it.
+/// Counters of the traffic that one node sent and received through the proxies.
 #[derive(Debug, Default)]
 struct NodeCounters {
     bytes_out: AtomicU64,
@@ -11,7 +11,7 @@
     messages_in: AtomicU64,
 }
 
-/// What one node has sent and received until now.
+/// Traffic that one node sent and received since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeTraffic {
     /// Bytes sent.
@@ -24,7 +24,7 @@
     pub messages_in: u64,
 }
 
-/// The traffic of all nodes.
+/// Traffic counters of all nodes.
 pub struct TrafficCounters {
     nodes: Vec<NodeCounters>,
     lost: AtomicU64,
@@ -40,7 +40,7 @@
 }
 
 impl TrafficCounters {
-    /// Counters of so many nodes.
+    /// Creates the counters of `node_count` nodes.
     pub fn new(node_count: usize) -> TrafficCounters {
         TrafficCounters {
             nodes: (0..node_count).map(|_| NodeCounters::default()).collect(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// What a node has sent and received.
+    /// Returns the traffic that a node sent and received.
     pub fn traffic(&self, node: usize) -> NodeTraffic {
         let counters = &self.nodes[node];
         NodeTraffic {
@@ -60,17 +60,18 @@
         }
     }
 
-    /// Datagrams that were lost and parts of streams that were held up on purpose.
+    /// Returns the number of datagrams dropped, and of delays added to stream chunks, by the proxies.
     pub fn lost(&self) -> u64 {
         read(&self.lost)
     }
 
-    /// What could not be assigned to a sender, or not be decoded.
+    /// Returns the number of datagrams of unknown senders, streams that can't be decoded, and connections that can't be
+    /// opened.
     pub fn unknown(&self) -> u64 {
         read(&self.unknown)
     }
 
-    /// Counts what one node has sent to another.
+    /// Counts traffic from one node to another.
     pub(super) fn count_sent(&self, from: usize, to: usize, bytes: u64, messages: u64) {
         add(&self.nodes[from].bytes_out, bytes);
         add(&self.nodes[from].messages_out, messages);
--- a/crates/scale/src/counting_proxy/listener.rs
+++ b/crates/scale/src/counting_proxy/listener.rs
@@ -1,4 +1,4 @@
-//! One node's proxy: it relays datagrams itself, and opens a relay for each stream.
+//! The proxy of one node: relays datagrams, and opens a relay for each stream.
 
 use super::counted_stream::CountedStream;
 use super::{DeadlineKind, ProxyContext, ProxyState};
@@ -9,15 +9,15 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::Instant;
 
-/// Datagrams received in one turn of the loop.
+/// Maximum number of datagrams received in one turn of the event loop.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Connections accepted in one turn of the loop.
+/// Maximum number of connections accepted in one turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// Datagrams are at most so long.
+/// Maximum length of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Datagrams above which delayed ones are lost.
+/// Maximum number of delayed datagrams; datagrams beyond it are dropped.
 const MAX_DELAYED_DATAGRAMS: usize = 512;
-/// Numbers of its sockets.
+/// Indexes of the proxy's sockets within the component.
 const STREAM_SOCKET: usize = 0;
 const DATAGRAM_SOCKET: usize = 1;
 
@@ -26,7 +26,7 @@
     bytes: Vec<u8>,
 }
 
-/// One node's proxy.
+/// The proxy of one node.
 pub(super) struct ProxyListener {
     id: ComponentId,
     node: usize,
@@ -37,7 +37,7 @@
 }
 
 impl ProxyListener {
-    /// Opens the proxy of a node that listens at `target`.
+    /// Opens the proxy, at `address`, of a node that listens at `target`.
     pub(super) fn open(
         context: &mut ProxyContext,
         node: usize,
@@ -70,7 +70,7 @@
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, sender)) => self.relay_datagram(context, sender, &bytes[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // A dead node's system has refused an earlier datagram.
+                // An earlier datagram was refused, because its node does not run.
                 Err(_) => {}
             }
         }
@@ -89,7 +89,7 @@
             return;
         }
         if state.condition.delay.is_zero() {
-            // What the system does not accept is lost, as datagrams are.
+            // A datagram that the system does not accept is dropped, as on a lossy network.
             let _ = self.socket.send_to(bytes, self.target);
         } else if self.delayed.len() < MAX_DELAYED_DATAGRAMS {
             let due_at = Instant::now() + state.condition.delay;
@@ -125,7 +125,7 @@
             let Ok((stream, _)) = self.listener.accept() else {
                 return;
             };
-            // The dialer sees a connection that ends, and dials again.
+            // On an error the stream is closed, and the dialer reconnects.
             if CountedStream::open(context, self.node, stream, self.target).is_err() {
                 context.counters.count_unknown();
             }
--- a/crates/scale/src/counting_proxy/mod.rs
+++ b/crates/scale/src/counting_proxy/mod.rs
@@ -1,8 +1,8 @@
-//! A proxy before each node that counts all datagrams and streams from others by who sent them; so the figures are not the
-//! program's own.
+//! A proxy in front of each node, which counts the datagrams and streams of other nodes by sender. So the metrics do not
+//! depend on counters of the measured program itself.
 //!
-//! There is one proxy a node, where fault injection has one a link: the number of sockets must not grow with the square of
-//! the nodes.
+//! There is one proxy per node, whereas fault injection has one per link: the number of sockets must not grow with the
+//! square of the number of nodes.
 
 mod counted_stream;
 mod counters;
@@ -24,39 +24,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often the proxies look whether they are to stop.
+/// Interval at which the proxies check the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a deadline is for.
+/// The purpose of a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DeadlineKind {
-    /// The loop looks whether it is to stop.
+    /// Check the stop flag.
     CheckStop,
-    /// Delayed datagrams are due.
+    /// Send delayed datagrams.
     SendDatagrams,
-    /// Bytes that were read from this side are due.
+    /// Relay delayed bytes that were read from this side.
     RelayStream(Side),
 }
 
-/// What the proxies do with traffic, and where they count it.
+/// Options of the proxies.
 pub struct ProxyOptions {
-    /// The condition of all links: delay and loss.
+    /// Condition of all links: delay and loss.
     pub condition: LinkCondition,
-    /// What losses are drawn from.
+    /// Seed of the random losses.
     pub seed: u64,
-    /// The counters.
+    /// Traffic counters.
     pub counters: Arc<TrafficCounters>,
-    /// Set to end the proxies.
+    /// Set to stop the proxies.
     pub stop: Arc<AtomicBool>,
 }
 
-/// The state that all proxies share.
+/// State shared by all proxies.
 struct ProxyState {
     counters: Arc<TrafficCounters>,
     node_by_name: HashMap<String, usize>,
     node_by_address: HashMap<SocketAddr, usize>,
     condition: LinkCondition,
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
     stop: Arc<AtomicBool>,
 }
 
@@ -72,15 +72,15 @@
             node_by_name: names.collect(),
             node_by_address: addresses.collect(),
             condition: options.condition,
-            random: Pcg64Mcg::new(u128::from(options.seed) << 8 | 5),
+            rng: Pcg64Mcg::new(u128::from(options.seed) << 8 | 5),
             stop: options.stop,
         }
     }
 
-    /// Draws whether something is lost, and counts it; without a draw if nothing is lost.
+    /// Draws whether a datagram or chunk is lost, and counts the loss. Draws nothing if the loss ratio is 0.
     fn draw_loss(&mut self) -> bool {
         let loss_ratio = self.condition.loss_ratio;
-        let is_lost = loss_ratio > 0.0 && self.random.random::<f64>() < loss_ratio;
+        let is_lost = loss_ratio > 0.0 && self.rng.random::<f64>() < loss_ratio;
         if is_lost {
             self.counters.count_lost();
         }
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-/// Opens the proxies of all nodes and relays until they are stopped. `on_opened` gets the result of the first.
+/// Opens the proxies of all nodes, calls `on_opened` with the result, and relays until the stop flag is set.
 ///
 /// # Errors
 ///
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,35 +1,35 @@
-//! Why a run could not be carried out.
+//! Errors of a run.
 
 use crate::options::InvalidOption;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a run could not be carried out.
+/// The reason why a run failed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// An error of the system.
+    /// An I/O error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Text that is not JSON.
+    /// Invalid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// An option is out of bounds.
     #[error(transparent)]
     Option(#[from] InvalidOption),
-    /// It was stopped before its end.
-    #[error("it was stopped")]
+    /// The run was stopped before its end.
+    #[error("run stopped before its end")]
     Stopped,
     /// A program can't be started.
-    #[error("{program}")]
+    #[error("failed to start {program}")]
     Start {
         /// The program.
         program: String,
         /// The reason.
         source: io::Error,
     },
-    /// A real node has ended.
-    #[error("{node} has ended: {status}: {log}")]
+    /// The process of a real node exited.
+    #[error("node {node} exited: {status}: {log}")]
     NodeEnded {
         /// The node.
         node: String,
@@ -38,14 +38,14 @@
         /// The last lines of its log.
         log: String,
     },
-    /// A process of hollow nodes has ended.
-    #[error("{host} has ended")]
+    /// A process of hollow nodes exited.
+    #[error("{host} exited")]
     HostEnded {
         /// The process.
         host: String,
     },
-    /// A process of hollow nodes has written a line that is no report.
-    #[error("{host} said {line:?}")]
+    /// A process of hollow nodes wrote an invalid report.
+    #[error("{host} wrote an invalid report {line:?}")]
     HostReport {
         /// The process.
         host: String,
@@ -54,51 +54,51 @@
         /// The reason.
         source: serde_json::Error,
     },
-    /// A process of hollow nodes takes no commands.
-    #[error("hollow nodes from {first_node} on")]
+    /// A process of hollow nodes accepts no commands.
+    #[error("failed to send a command to the hollow nodes from node {first_node} on")]
     HostCommand {
-        /// Its first node.
+        /// First node of the process.
         first_node: usize,
         /// The reason.
         source: io::Error,
     },
-    /// A process was started without a pipe.
-    #[error("a host has no {pipe}")]
+    /// A process of hollow nodes was started without a pipe.
+    #[error("process of hollow nodes has no {pipe} pipe")]
     NoPipe {
         /// `input` or `output`.
         pipe: &'static str,
     },
-    /// The proxies have failed.
-    #[error("the doors")]
+    /// The proxies failed.
+    #[error("counting proxies failed")]
     Proxy {
         /// The reason.
         source: io::Error,
     },
-    /// The proxies have ended before they were open.
-    #[error("the doors did not open")]
+    /// The proxies ended before they were open.
+    #[error("counting proxies ended before they were open")]
     ProxyNotOpened,
-    /// A node does not answer an admin command.
-    #[error("{address}")]
+    /// A node did not answer an admin command.
+    #[error("admin command to {address} failed")]
     AdminCall {
         /// Its admin address.
         address: SocketAddr,
         /// The reason.
         source: io::Error,
     },
-    /// A node has refused an admin command.
-    #[error("{address}: {answer}")]
+    /// A node rejected an admin command.
+    #[error("{address} rejected the admin command: {answer}")]
     AdminCommandFailed {
         /// Its admin address.
         address: SocketAddr,
         /// Its answer.
         answer: String,
     },
-    /// The cluster did not become ready.
-    #[error("not settled after {timeout_s} s: {reason}")]
+    /// The cluster did not become ready in time.
+    #[error("cluster not ready after {timeout_s} s: {reason}")]
     NotSettled {
-        /// How long it was waited, in seconds.
+        /// Time limit in seconds.
         timeout_s: f64,
-        /// What was missing last.
+        /// The last unmet condition.
         reason: String,
     },
 }
--- a/crates/scale/src/hollow_host/mod.rs
+++ b/crates/scale/src/hollow_host/mod.rs
@@ -1,7 +1,7 @@
-//! A process of hollow nodes, each in a thread of its own.
+//! A process of hollow nodes, each in its own thread.
 //!
-//! The run sends commands to its standard input, line by line, and gets reports of the nodes from its standard output. It
-//! ends with its input, so that none outlives the run.
+//! The process reads commands of the run from its standard input, one per line, and writes reports of the nodes to its
+//! standard output. It ends when its input ends, so that it does not outlive the run.
 
 mod budget_consumer;
 mod protocol;
@@ -15,17 +15,17 @@
 use std::thread;
 use thiserror::Error;
 
-/// Stack of a hollow node's thread.
+/// Stack size of a hollow node's thread.
 const STACK_BYTES: usize = 1 << 20;
-/// Exit code of the process if a node can't run.
+/// Exit code of the process if a node fails.
 const NODE_ERROR_EXIT_CODE: i32 = 2;
 
-/// What the run wants of all hollow nodes.
+/// Settings of all hollow nodes of the process, changed by commands of the run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostSettings {
-    /// Uses of the budget in a second that each node has demand for.
+    /// Demand of each node, in uses of the budget per second.
     pub demand: f64,
-    /// Name of the node whose death is watched for; empty for none.
+    /// Name of the node whose failure is to be detected; empty for none.
     pub watched_node: String,
 }
 
@@ -39,20 +39,20 @@
     }
 }
 
-/// Why a process of hollow nodes can't go on.
+/// The reason why a process of hollow nodes fails.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// An error of the system.
+    /// An I/O error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A node's configuration can't be made.
+    /// A node's configuration can't be created.
     #[error(transparent)]
     Config(#[from] serde_json::Error),
-    /// A command can't be read.
+    /// A command is invalid.
     #[error(transparent)]
     Command(#[from] InvalidCommand),
     /// A node's thread can't be started.
-    #[error("{node}")]
+    #[error("failed to start the thread of {node}")]
     Thread {
         /// The node.
         node: String,
@@ -61,11 +61,11 @@
     },
 }
 
-/// Starts the hollow nodes that are asked for, and carries out commands until the input ends.
+/// Starts the requested hollow nodes, and executes commands until the input ends.
 ///
 /// # Errors
 ///
-/// If a node can't be started, or a command can't be read.
+/// If a node can't be started, or a command can't be read or is invalid.
 pub fn serve(request: &HostRequest) -> Result<(), HostError> {
     let settings = Arc::new(RwLock::new(HostSettings::default()));
     let operator_file = Arc::new(request.topology.operator_file(None));
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// Starts one hollow node in a thread. If it can't run, the process ends.
+/// Starts one hollow node in a thread. If the node fails, the process exits.
 fn start_node(
     request: &HostRequest,
     node: usize,
--- a/crates/scale/src/hollow_host/protocol.rs
+++ b/crates/scale/src/hollow_host/protocol.rs
@@ -1,4 +1,4 @@
-//! What a run and a process of hollow nodes tell each other: arguments, commands and reports.
+//! The protocol between a run and a process of hollow nodes: arguments, commands and reports.
 
 use crate::topology::Topology;
 use lupincrank_fault_injection::node_process::AddressBlock;
@@ -14,21 +14,21 @@
 pub struct HostRequest {
     /// The first node.
     pub first_node: usize,
-    /// Number of its nodes.
+    /// Number of nodes of the process.
     pub node_count: usize,
     /// All nodes of the run.
     pub topology: Topology,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
 }
 
 impl HostRequest {
-    /// The nodes of the process.
+    /// Returns the nodes of the process.
     pub fn nodes(&self) -> Range<usize> {
         self.first_node..self.first_node + self.node_count
     }
 
-    /// The request as arguments of the command line.
+    /// Returns the request as command-line arguments.
     pub fn to_arguments(&self) -> Vec<String> {
         let topology = &self.topology;
         let numbers = [
@@ -45,7 +45,7 @@
         numbers.iter().map(ToString::to_string).collect()
     }
 
-    /// Reads the arguments back; none if their number is another.
+    /// Parses the arguments; `None` if their number is wrong.
     pub fn from_arguments(numbers: &[u64]) -> Option<HostRequest> {
         let [first, count, real, hollow, expected, high, low, limit, seed] = *numbers else {
             return None;
@@ -68,23 +68,23 @@
     }
 }
 
-/// A command to all nodes of a process, as one line.
+/// A command to all nodes of a process, sent as one line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostCommand {
-    /// Each node has demand for so many uses of the budget in a second.
+    /// Sets the demand of each node, in uses of the budget per second.
     Demand(f64),
-    /// The death of the node with this name is watched for.
+    /// Sets the name of the node whose failure is to be detected.
     Watch(String),
 }
 
-/// A line that is no command.
+/// An invalid command.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum InvalidCommand {
-    /// The demand is no number.
-    #[error("{0:?} is no demand")]
+    /// The demand is not a number.
+    #[error("invalid demand {0:?}")]
     Demand(String),
-    /// The line is another.
-    #[error("{0:?} is neither demand nor watch")]
+    /// The line is neither of the commands.
+    #[error("unknown command {0:?}: expected demand or watch")]
     Unknown(String),
 }
 
@@ -113,49 +113,49 @@
     }
 }
 
-/// The state of one node, as a line of JSON.
+/// The state of one node, written as a line of JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// The node's number.
+    /// Number of the node.
     pub node: usize,
-    /// When it was written, in Unix microseconds.
+    /// Time of the report, in Unix microseconds.
     pub at_us: u64,
-    /// Entries of the replicated log that it has applied.
+    /// Number of entries of the replicated log that the node has applied.
     pub epoch: u64,
-    /// The limit of the budget that it knows.
+    /// Limit of the budget known to the node.
     #[serde(rename = "whole")]
     pub budget_limit: u32,
-    /// Whether it knows a leader.
+    /// Whether the node knows a leader.
     #[serde(rename = "led")]
     pub has_leader: bool,
-    /// Whether it is a voter.
+    /// Whether the node is a voter.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// Living nodes as far as it knows, itself among them.
+    /// Number of nodes that the node reports as live, including itself.
     #[serde(rename = "alive")]
-    pub living_count: usize,
-    /// Whether the watched node lives as far as it knows.
+    pub live_count: usize,
+    /// Whether the node reports the watched node as live, or no node is watched.
     #[serde(rename = "watched_lives")]
-    pub is_watched_alive: bool,
-    /// Uses of the budget since its last report.
+    pub is_watched_node_live: bool,
+    /// Uses of the budget since the last report.
     #[serde(rename = "used")]
     pub use_count: u32,
-    /// Processor time of its thread so far, in microseconds.
+    /// CPU time of the node's thread since its start, in microseconds.
     pub cpu_us: u64,
 }
 
 impl NodeReport {
-    /// Whether another report says the same of the cluster.
+    /// Returns true if another report contains the same state of the cluster.
     pub(super) fn has_same_state(&self, other: &NodeReport) -> bool {
         self.budget_limit == other.budget_limit
             && self.has_leader == other.has_leader
             && self.is_voter == other.is_voter
-            && self.living_count == other.living_count
-            && self.is_watched_alive == other.is_watched_alive
+            && self.live_count == other.live_count
+            && self.is_watched_node_live == other.is_watched_node_live
     }
 }
 
-/// Now, as Unix time in microseconds.
+/// Returns the current Unix time in microseconds.
 pub fn unix_us() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/scale/src/hollow_host/tests.rs
+++ b/crates/scale/src/hollow_host/tests.rs
@@ -1,13 +1,13 @@
-use super::budget_consumer::LOOK_INTERVAL;
+use super::budget_consumer::OBSERVE_INTERVAL;
 use super::*;
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
 #[rstest]
-#[case::no_number("demand much", "\"much\" is no demand")]
-#[case::no_word("demands 3", "\"demands 3\" is neither demand nor watch")]
-#[case::nothing("", "\"\" is neither demand nor watch")]
-fn a_line_that_is_no_command_is_named(#[case] line: &str, #[case] why: &str) {
+#[case::not_a_number("demand much", "invalid demand \"much\"")]
+#[case::unknown_word("demands 3", "unknown command \"demands 3\": expected demand or watch")]
+#[case::empty("", "unknown command \"\": expected demand or watch")]
+fn an_invalid_command_is_rejected_and_named(#[case] line: &str, #[case] message: &str) {
     let mut settings = HostSettings {
         demand: 0.5,
         watched_node: "a01".into(),
@@ -17,7 +17,7 @@
         .map(|command: HostCommand| settings.apply(command));
     assert_eq!(
         applied.map_err(|error| error.to_string()),
-        Err(why.to_string())
+        Err(message.to_string())
     );
     assert_eq!(
         settings,
@@ -28,11 +28,11 @@
     );
 }
 
-/// What is used within any window stays within the limit, however great the demand, and little demand is not limited.
+/// Uses within any window stay within the limit under any demand, and low demand is not limited.
 #[rstest]
-#[case::pressed(100.0, true)]
+#[case::saturated(100.0, true)]
 #[case::idle(1.0, false)]
-fn no_window_has_more_uses_than_the_limit(#[case] demand: f64, #[case] pressed: bool) {
+fn no_window_has_more_uses_than_the_limit(#[case] demand: f64, #[case] is_saturated: bool) {
     let window = Duration::from_millis(1250);
     let limit = 5;
     let mut consumer = BudgetConsumer::new(3, 1, Arc::default());
@@ -40,7 +40,7 @@
     let mut uses = Vec::new();
     let mut was_limited = false;
     for tick in 1..200u32 {
-        let now = begin + LOOK_INTERVAL * tick;
+        let now = begin + OBSERVE_INTERVAL * tick;
         let consumption = consumer.consume(now, demand, limit, window);
         uses.extend((0..consumption.use_count).map(|_| now));
         was_limited |= consumption.was_limited;
@@ -51,9 +51,9 @@
         let reported = consumption.window_count;
         assert!(
             within <= limit as usize && reported as usize == within,
-            "{within} in a window, {reported} reported"
+            "{within} uses in a window, {reported} reported"
         );
     }
-    assert_eq!(was_limited, pressed);
-    assert!(uses.len() >= 15, "{} were used in 20 s", uses.len());
+    assert_eq!(was_limited, is_saturated);
+    assert!(uses.len() >= 15, "{} uses in 20 s", uses.len());
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,7 +1,7 @@
-//! Measures what the control plane costs by the size of the cluster.
+//! Measures the cost of the control plane by cluster size.
 //!
-//! Hollow nodes, many in one process, run the real control code beside a few real processes; a counting proxy before each
-//! node counts what others send to it. `docs/design/scale.md` gives the reasons for this design.
+//! Hollow nodes, many in one process, run the real control-plane code beside a few full nodes; a proxy in front of each
+//! node counts the traffic that other nodes send to it. `docs/design/scale.md` gives the reasons for this design.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! `lupincrank-scale`: runs a cluster of hollow nodes beside real ones, and fits laws to the figures of several runs.
+//! `lupincrank-scale`: runs a cluster of hollow and real nodes, and fits models to the metrics of several runs.
 
 #![forbid(unsafe_code)]
 
@@ -23,12 +23,12 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The program of real nodes if none is named.
+/// The program of real nodes unless `--program` is given, in the directory of this program.
 const DEFAULT_PROGRAM: &str = "lupincrank";
-/// Exit code of a command that could not be carried out.
+/// Exit code of a command that could not be executed.
 const ERROR_EXIT_CODE: u8 = 2;
 
-/// Why a command could not be carried out.
+/// The reason why a command could not be executed.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -50,32 +50,32 @@
         path: PathBuf,
         source: serde_json::Error,
     },
-    #[error("host is begun by a run, with nine numbers")]
+    #[error("host: expected nine numbers; this command is started by a run")]
     HostArguments,
 }
 
-/// What a command that was carried out found.
+/// Result of an executed command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandResult {
     Passed,
     Failed,
 }
 
-/// Bounds that the command line sets.
+/// Bounds given on the command line.
 struct Bounds {
     max_leader_bytes_per_s: Option<f64>,
     max_hollow_messages_per_s: Option<f64>,
 }
 
 impl Bounds {
-    /// Checks an outcome, and prints what exceeds its bound.
+    /// Checks an outcome for violations and exceeded bounds, and prints the latter.
     fn check(&self, outcome: &Outcome) -> CommandResult {
-        let role_figure = |role: &str, figure: fn(&RoleCost) -> f64| {
+        let role_metric = |role: &str, metric: fn(&RoleCost) -> f64| {
             let cost = outcome.roles.get(role);
-            cost.map_or(0.0, figure)
+            cost.map_or(0.0, metric)
         };
-        let leader_bytes = role_figure("leader", |cost| cost.bytes_out_per_s_mean);
-        let hollow_messages = role_figure("hollow-node", |cost| cost.messages_per_s_mean);
+        let leader_bytes = role_metric("leader", |cost| cost.bytes_out_per_s_mean);
+        let hollow_messages = role_metric("hollow-node", |cost| cost.messages_per_s_mean);
         let is_leader_within = is_within(
             "bytes/s of the leader",
             leader_bytes,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Whether a figure was measured and is within its bound.
-fn is_within(figure: &str, value: f64, max: Option<f64>) -> bool {
+/// Returns true if a metric was measured and is within its bound.
+fn is_within(metric: &str, value: f64, max: Option<f64>) -> bool {
     let Some(max) = max else {
         return true;
     };
@@ -105,18 +105,18 @@
     if is_measured && value <= max {
         return true;
     }
-    summary::print_exceeded(figure, value, max);
+    summary::print_exceeded(metric, value, max);
     false
 }
 
-/// A progress bar, which is drawn on a terminal only.
+/// Creates a progress bar, which is drawn on a terminal only.
 fn progress_bar() -> Result<ProgressBar, TemplateError> {
     let progress_bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
     progress_bar.set_style(ProgressStyle::with_template("{spinner} {msg}")?);
     Ok(progress_bar)
 }
 
-/// A flag that SIGINT and SIGTERM set.
+/// Returns a flag that SIGINT and SIGTERM set.
 fn stop_flag() -> io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -14,44 +14,44 @@
 const MAX_MEASURED_SECONDS: f64 = 600.0;
 const MAX_SETTLE_SECONDS: f64 = 900.0;
 const MAX_LOSS_RATIO: f64 = 0.9;
-/// Descriptors of a run that do not depend on its size.
+/// File descriptors that a run needs regardless of its size.
 const SPARE_DESCRIPTORS: usize = 100;
-/// Descriptors of a node's proxy and of its connections through that.
+/// File descriptors of a node's proxy and of the connections that it relays.
 const DESCRIPTORS_PER_NODE: usize = 4;
 
-/// How a run is carried out.
+/// Options of a run.
 pub struct RunOptions {
     /// Number of all nodes.
     pub node_count: usize,
-    /// Number of those that are real processes.
+    /// Number of real nodes: processes of the program.
     pub real_count: usize,
-    /// Number of nodes that the operator's file names; all if it is not said.
+    /// Number of nodes that the operator's file lists; all if `None`.
     pub expected_count: Option<usize>,
-    /// How long costs are measured, in seconds.
+    /// Duration of the cost measurement in seconds.
     pub measured_s: f64,
-    /// How long the cluster may take to be ready, in seconds.
+    /// Maximum time until the cluster is ready, in seconds.
     pub settle_timeout_s: f64,
-    /// The ratio of datagrams that is lost, and of streams' parts that are held up.
+    /// Fraction of datagrams that are dropped, and of stream chunks that are delayed.
     pub loss_ratio: f64,
-    /// The seed of all that is drawn.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The program of real nodes.
+    /// Path of the program of real nodes.
     pub program: String,
-    /// This program, which runs the hollow nodes.
+    /// Path of this program, which also runs the hollow nodes.
     pub host_program: PathBuf,
-    /// Set to end the run early.
+    /// Set to stop the run early.
     pub stop: Arc<AtomicBool>,
-    /// Called now and then with what is being done.
+    /// Called regularly with the current activity.
     pub on_progress: Box<dyn Fn(&str)>,
 }
 
-/// An option that is out of bounds.
+/// An invalid option.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum InvalidOption {
-    /// The number of nodes.
-    #[error("--nodes: {0} is not in 4 to 1000, the largest fleet of today")]
+    /// The number of nodes is out of bounds.
+    #[error("--nodes: {0} is not in 4 to 1000, the maximum cluster size")]
     NodeCount(usize),
-    /// The number of real nodes.
+    /// The number of real nodes is out of bounds.
     #[error("--real: {count} is not in 2 to {max}")]
     RealCount {
         /// The number.
@@ -59,7 +59,7 @@
         /// Its bound.
         max: usize,
     },
-    /// The number of expected nodes.
+    /// The number of expected nodes is out of bounds.
     #[error("--expected: {count} is not in 3 to {max}")]
     ExpectedCount {
         /// The number.
@@ -67,7 +67,7 @@
         /// Its bound.
         max: usize,
     },
-    /// A number of seconds.
+    /// A number of seconds is out of bounds.
     #[error("{option}: {seconds} is not in 1 to {max}")]
     Seconds {
         /// The option.
@@ -77,35 +77,35 @@
         /// Its bound.
         max: f64,
     },
-    /// The ratio of losses.
+    /// The loss ratio is out of bounds.
     #[error("--loss: {0} is not in 0 to 0.9")]
     LossRatio(f64),
-    /// The run needs more descriptors than the process may have.
+    /// The run needs more file descriptors than the process may open.
     #[error(
-        "--nodes: {nodes} with {expected} of them in the file take {needed} descriptors, {limit} are the limit (ulimit -n)"
+        "--nodes: {nodes} nodes, {expected} of them in the operator's file, need {needed} file descriptors; the limit is {limit} (ulimit -n)"
     )]
     Descriptors {
         /// The number of nodes.
         nodes: usize,
         /// The number of expected nodes.
         expected: usize,
-        /// Descriptors that are needed.
+        /// Number of file descriptors that the run needs.
         needed: usize,
-        /// The limit of the process.
+        /// Limit of the process.
         limit: usize,
     },
-    /// There is no such program.
-    #[error("--program: {0:?} is no file: build it first")]
+    /// The program does not exist.
+    #[error("--program: {0:?} is not a file: build it first")]
     Program(String),
 }
 
 impl RunOptions {
-    /// Number of nodes that the operator's file names.
+    /// Number of nodes that the operator's file lists.
     pub fn expected_count(&self) -> usize {
         self.expected_count.unwrap_or(self.node_count)
     }
 
-    /// Checks all bounds.
+    /// Checks all options.
     pub(crate) fn validate(&self) -> Result<(), InvalidOption> {
         self.validate_counts()?;
         check_seconds("--seconds", self.measured_s, MAX_MEASURED_SECONDS)?;
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// All expected nodes bootstrap the control group with a vote each, and connect to each other.
+    /// All expected nodes bootstrap the control group as voters, and connect to each other.
     fn validate_descriptors(&self) -> Result<(), InvalidOption> {
         let expected = self.expected_count();
         let needed =
@@ -168,7 +168,7 @@
     })
 }
 
-/// Descriptors that this process may have.
+/// Maximum number of file descriptors of this process.
 fn descriptor_limit() -> Option<usize> {
     let limits = fs::read_to_string("/proc/self/limits").ok()?;
     let mut lines = limits.lines();
--- a/crates/scale/src/outcome.rs
+++ b/crates/scale/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a run, as printed in JSON.
+//! The outcome of a run, as written in JSON.
 
 use hdrhistogram::Histogram;
 use lupincrank_fault_injection::checker::BudgetReport;
@@ -8,37 +8,37 @@
 const US_PER_SECOND: f64 = 1e6;
 const US_PER_MS: f64 = 1000.0;
 const KB_PER_MB: f64 = 1024.0;
-/// Longest time of propagation that is told apart, in microseconds.
+/// Upper bound of the histogram of propagation times, in microseconds.
 const MAX_PROPAGATION_US: u64 = 10_000_000_000;
 
-/// What one role costs.
+/// Cost of one role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RoleCost {
     /// Number of nodes with this role.
     pub processes: usize,
-    /// Bytes sent in the busiest second of any node.
+    /// Bytes sent per second: maximum over all nodes and seconds.
     pub bytes_out_per_s_max: f64,
-    /// Bytes sent in a second, over all nodes and seconds.
+    /// Bytes sent per second: mean over all nodes and seconds.
     pub bytes_out_per_s_mean: f64,
-    /// The greatest mean of any node.
+    /// Bytes sent per second: mean of the busiest node.
     pub bytes_out_per_s_busiest: f64,
-    /// Bytes received in a second, over all nodes and seconds.
+    /// Bytes received per second: mean over all nodes and seconds.
     pub bytes_in_per_s_mean: f64,
-    /// Messages sent in the busiest second of any node.
+    /// Messages sent per second: maximum over all nodes and seconds.
     pub messages_per_s_max: f64,
-    /// Messages sent in a second, over all nodes and seconds.
+    /// Messages sent per second: mean over all nodes and seconds.
     pub messages_per_s_mean: f64,
-    /// Share of a core over the whole span, of the busiest node.
+    /// CPU time as a fraction of a core over the measurement: the busiest node.
     pub cpu_share_max: f64,
-    /// Share of a core over the whole span, of all nodes.
+    /// CPU time as a fraction of a core over the measurement: mean over all nodes.
     pub cpu_share_mean: f64,
-    /// Resident memory of the largest node; a hollow node's is its process's, divided by the nodes in it.
+    /// Resident memory of the largest node; for a hollow node, that of its process divided by the process's nodes.
     pub rss_mb_max: f64,
-    /// The costs of each second, summed over the nodes.
+    /// Cost of each second, summed over the nodes.
     pub seconds: Vec<RoleSecond>,
 }
 
-/// The costs of one role in one second, summed over its nodes.
+/// Cost of one role in one second, summed over its nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RoleSecond {
     /// Bytes sent.
@@ -55,7 +55,7 @@
     pub rss_mb: f64,
 }
 
-/// What a node has cost until some moment.
+/// Cumulative counters and memory of a node at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeReading {
     /// Bytes sent.
@@ -66,14 +66,14 @@
     pub bytes_in: u64,
     /// Messages received.
     pub messages_in: u64,
-    /// Processor time in microseconds.
+    /// CPU time in microseconds.
     pub cpu_us: u64,
     /// Resident memory in kB.
     pub rss_kb: u64,
 }
 
 impl NodeReading {
-    /// What was added since an earlier reading; the memory is that of the later one.
+    /// Returns the increase since an earlier reading; memory is that of the later reading.
     fn since(&self, earlier: &NodeReading) -> NodeReading {
         NodeReading {
             bytes_out: self.bytes_out - earlier.bytes_out,
@@ -94,17 +94,17 @@
     }
 }
 
-/// The readings of all nodes at one moment.
+/// Readings of all nodes at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
     /// Seconds since the first sample.
     pub at_s: f64,
-    /// By the node's number.
+    /// Indexed by node number.
     pub nodes: Vec<NodeReading>,
 }
 
 impl RoleCost {
-    /// The costs of the nodes of one role; samples are a second apart.
+    /// Computes the cost of the nodes of one role; samples are a second apart.
     pub fn new(samples: &[Sample], nodes: &[usize]) -> RoleCost {
         let mut cost = RoleCost {
             processes: nodes.len(),
@@ -162,29 +162,29 @@
     }
 }
 
-/// How long something took to reach 50 and 99 in 100 nodes, and all of them, in milliseconds: the worst of several
+/// Times until a change reached 50% and 99% of the nodes, and all nodes, in milliseconds: the maximum of several
 /// measurements.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PropagationTimes {
     /// Number of measurements.
     #[serde(rename = "times")]
     pub measurement_count: usize,
-    /// Until it had reached 50 in 100 nodes.
+    /// Time until the change reached 50% of the nodes.
     #[serde(rename = "p50")]
     pub p50_ms: f64,
-    /// Until it had reached 99 in 100 nodes.
+    /// Time until the change reached 99% of the nodes.
     #[serde(rename = "p99")]
     pub p99_ms: f64,
-    /// Until it had reached all nodes.
+    /// Time until the change reached all nodes.
     #[serde(rename = "all")]
     pub all_ms: f64,
-    /// Nodes that it had not reached before the run gave up, over all measurements.
+    /// Number of nodes not reached within the time limit, summed over all measurements.
     #[serde(rename = "missing")]
     pub missing_count: usize,
 }
 
 impl PropagationTimes {
-    /// Adds a measurement: the times of the nodes that were reached, and the number of the others.
+    /// Adds a measurement: the times of the nodes reached, and the number of the others.
     pub fn add(&mut self, reached_ms: &[f64], missing_count: usize) {
         let histogram = Histogram::<u64>::new_with_bounds(1, MAX_PROPAGATION_US, 3);
         let Ok(mut histogram) = histogram else {
@@ -203,29 +203,29 @@
     }
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Number of all nodes.
     #[serde(rename = "nodes")]
     pub node_count: usize,
-    /// Number of those that are real processes.
+    /// Number of real nodes: processes of the program.
     #[serde(rename = "real")]
     pub real_count: usize,
-    /// Number of nodes that the operator's file named.
+    /// Number of nodes that the operator's file lists.
     #[serde(rename = "expected")]
     pub expected_count: usize,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The ratio of messages that were lost on purpose.
+    /// Fraction of messages that the proxies dropped or delayed.
     #[serde(rename = "loss")]
     pub loss_ratio: f64,
-    /// How long costs were measured, in seconds.
+    /// Duration of the cost measurement in seconds.
     #[serde(rename = "seconds")]
     pub measured_s: f64,
-    /// This build's version.
+    /// Version of this program.
     pub version: &'static str,
-    /// Seconds until all nodes followed one leader.
+    /// Seconds until all nodes had a leader and reported all nodes as live.
     pub settle_s: f64,
     /// Seconds until the number of voters was reduced.
     pub votes_s: f64,
@@ -233,23 +233,23 @@
     pub voters: Vec<String>,
     /// Name of the leader at the end.
     pub leader: String,
-    /// Costs by role.
+    /// Cost by role.
     pub roles: BTreeMap<&'static str, RoleCost>,
-    /// Until nodes knew a change of the budget's limit.
+    /// Times until nodes knew a new limit of the budget.
     #[serde(rename = "change_ms")]
     pub change_times: PropagationTimes,
-    /// Until nodes knew of a death.
+    /// Times until nodes detected the failure of a node.
     #[serde(rename = "death_ms")]
-    pub death_times: PropagationTimes,
-    /// Budgets as nodes reported their uses.
+    pub failure_times: PropagationTimes,
+    /// Usage of the budgets, from the reports of nodes.
     pub budgets: Vec<BudgetReport>,
-    /// Violated rules of the budgets.
+    /// Violations of the budgets' rules.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Datagrams that were lost and parts of streams that were held up on purpose.
+    /// Number of datagrams that the proxies dropped, and of delays that they added to stream chunks.
     #[serde(rename = "lost")]
     pub lost_count: u64,
-    /// What the proxies could not assign to a sender, or not decode.
+    /// Number of datagrams of unknown senders, streams that can't be decoded, and connections that can't be opened.
     #[serde(rename = "unknown")]
     pub unknown_count: u64,
 }
--- a/crates/scale/src/outcome/tests.rs
+++ b/crates/scale/src/outcome/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 #[expect(clippy::float_cmp, reason = "quotients of these numbers are exact")]
-fn a_role_is_its_nodes_alone_by_second_and_over_all() {
+fn a_role_cost_covers_only_the_nodes_of_the_role() {
     let reading = |bytes: u64, cpu_us: u64| NodeReading {
         bytes_out: bytes,
         messages_out: bytes / 100,
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -1,6 +1,6 @@
-//! A picture of figures against the size of the cluster, with the laws fitted to them.
+//! Charts of metrics against the cluster size, with the models fitted to them.
 
-use crate::regression::{Figure, LinearFit, Point, QuadraticFit};
+use crate::regression::{LinearFit, Metric, Point, QuadraticFit};
 use plotters::coord::combinators::LogCoord;
 use plotters::coord::Shift;
 use plotters::prelude::{
@@ -23,39 +23,39 @@
 const POINT_RADIUS: u32 = 4;
 const LINEAR_OPACITY: f64 = 0.6;
 const QUADRATIC_OPACITY: f64 = 0.9;
-/// Steps between the smallest and the largest size at which laws are drawn.
-const LAW_STEP_COUNT: u32 = 40;
-/// How far the axes reach beyond the points.
+/// Steps of the curve of a model, from the smallest to the largest size.
+const CURVE_STEP_COUNT: u32 = 40;
+/// Bounds of the axes, as factors of the smallest and largest size and value.
 const MIN_SIZE_FACTOR: f64 = 0.8;
 const MAX_SIZE_FACTOR: f64 = 1.25;
 const MIN_VALUE_FACTOR: f64 = 0.6;
 const MAX_VALUE_FACTOR: f64 = 1.6;
 
-/// A chart of one figure.
-struct FigureChart {
-    figure: Figure,
+/// A chart of one metric.
+struct MetricChart {
+    metric: Metric,
     unit: &'static str,
 }
 
-const CHARTS: [FigureChart; 6] = [
-    FigureChart::new("leader", "bytes_out_per_s_mean", "bytes/s sent"),
-    FigureChart::new("hollow-node", "bytes_out_per_s_mean", "bytes/s sent"),
-    FigureChart::new("leader", "cpu_share_mean", "of a core"),
-    FigureChart::new("hollow-node", "cpu_share_mean", "of a core"),
-    FigureChart::new("node", "rss_mb_max", "MB resident"),
-    FigureChart::new("hollow-node", "rss_mb_max", "MB resident"),
+const CHARTS: [MetricChart; 6] = [
+    MetricChart::new("leader", "bytes_out_per_s_mean", "bytes/s sent"),
+    MetricChart::new("hollow-node", "bytes_out_per_s_mean", "bytes/s sent"),
+    MetricChart::new("leader", "cpu_share_mean", "of a core"),
+    MetricChart::new("hollow-node", "cpu_share_mean", "of a core"),
+    MetricChart::new("node", "rss_mb_max", "MB resident"),
+    MetricChart::new("hollow-node", "rss_mb_max", "MB resident"),
 ];
 
-impl FigureChart {
-    const fn new(role: &'static str, name: &'static str, unit: &'static str) -> FigureChart {
-        FigureChart {
-            figure: Figure::new(role, name),
+impl MetricChart {
+    const fn new(role: &'static str, name: &'static str, unit: &'static str) -> MetricChart {
+        MetricChart {
+            metric: Metric::new(role, name),
             unit,
         }
     }
 }
 
-/// The picture could not be drawn.
+/// The picture can't be drawn.
 #[derive(Debug, Error)]
 #[error("{}: {reason}", path.display())]
 pub struct DrawError {
@@ -63,7 +63,7 @@
     reason: String,
 }
 
-/// A reason of the drawing library, which has a type for each of its parts.
+/// An error of the drawing library as text: the library has an error type for each of its modules.
 struct DrawFailure(String);
 
 impl DrawFailure {
@@ -74,7 +74,7 @@
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
 
-/// The bounds of points.
+/// Bounds of points.
 struct Bounds {
     min_size: f64,
     max_size: f64,
@@ -94,23 +94,26 @@
         }
     }
 
-    /// The least value that is drawn.
-    fn floor(&self) -> f64 {
+    /// Returns the lower bound of the value axis.
+    fn min_drawn_value(&self) -> f64 {
         self.min_value * MIN_VALUE_FACTOR
     }
 
-    /// Points of a law between the smallest and the largest size.
-    fn law_points(&self, law: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
+    /// Returns points on the curve of a model between the smallest and the largest size.
+    fn curve_points(&self, model: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
         let ratio = self.max_size / self.min_size;
-        let steps = (0..=LAW_STEP_COUNT).map(|step| f64::from(step) / f64::from(LAW_STEP_COUNT));
+        let steps =
+            (0..=CURVE_STEP_COUNT).map(|step| f64::from(step) / f64::from(CURVE_STEP_COUNT));
         let sizes = steps.map(|step| self.min_size * ratio.powf(step));
-        let points = sizes.map(|size| (size, law(size)));
-        points.filter(|(_, value)| *value > self.floor()).collect()
+        let points = sizes.map(|size| (size, model(size)));
+        points
+            .filter(|(_, value)| *value > self.min_drawn_value())
+            .collect()
     }
 }
 
-/// Draws figures of several outcomes, with the linear fit in red and the quadratic one in green. Both axes are logarithmic,
-/// so a power of the size is a straight line.
+/// Draws the metrics of several outcomes, with the linear fit in red and the quadratic fit in green. Both axes are
+/// logarithmic, so that a power law is a straight line.
 ///
 /// # Errors
 ///
@@ -126,7 +129,7 @@
     let root = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(DrawFailure::new)?;
     for (area, chart) in root.split_evenly(CHART_GRID).iter().zip(CHARTS) {
-        let mut points = chart.figure.points(outcomes);
+        let mut points = chart.metric.points(outcomes);
         points.retain(|point| point.value > 0.0);
         if let Some(fit) = LinearFit::new(&points) {
             draw_chart(area, &chart, &points, &fit)?;
@@ -137,17 +140,17 @@
 
 fn draw_chart(
     area: &DrawingArea<SVGBackend, Shift>,
-    figure_chart: &FigureChart,
+    metric_chart: &MetricChart,
     points: &[Point],
     fit: &LinearFit,
 ) -> Result<(), DrawFailure> {
     let bounds = Bounds::of(points);
-    let mut chart = new_chart(area, figure_chart, &bounds, fit)?;
-    let linear_points = bounds.law_points(|size| fit.at(size));
+    let mut chart = new_chart(area, metric_chart, &bounds, fit)?;
+    let linear_points = bounds.curve_points(|size| fit.value_at(size));
     let linear = LineSeries::new(linear_points, RED.mix(LINEAR_OPACITY));
     chart.draw_series(linear).map_err(DrawFailure::new)?;
     if let Some(quadratic) = QuadraticFit::new(points) {
-        let quadratic_points = bounds.law_points(|size| quadratic.at(size));
+        let quadratic_points = bounds.curve_points(|size| quadratic.value_at(size));
         let quadratic = LineSeries::new(quadratic_points, GREEN.mix(QUADRATIC_OPACITY));
         chart.draw_series(quadratic).map_err(DrawFailure::new)?;
     }
@@ -160,7 +163,7 @@
 
 fn new_chart<'a>(
     area: &DrawingArea<SVGBackend<'a>, Shift>,
-    figure_chart: &FigureChart,
+    metric_chart: &MetricChart,
     bounds: &Bounds,
     fit: &LinearFit,
 ) -> Result<Chart<'a>, DrawFailure> {
@@ -168,11 +171,11 @@
         Some(power_law) => format!("{:.2}", power_law.exponent),
         None => "-".to_string(),
     };
-    let role = figure_chart.figure.role;
-    let unit = figure_chart.unit;
+    let role = metric_chart.metric.role;
+    let unit = metric_chart.unit;
     let caption = format!("{role}, {unit}: n^{exponent}");
     let sizes = bounds.min_size * MIN_SIZE_FACTOR..bounds.max_size * MAX_SIZE_FACTOR;
-    let values = bounds.floor()..bounds.max_value * MAX_VALUE_FACTOR;
+    let values = bounds.min_drawn_value()..bounds.max_value * MAX_VALUE_FACTOR;
     let mut chart = ChartBuilder::on(area)
         .margin(CHART_MARGIN)
         .caption(caption, ("sans-serif", CAPTION_SIZE))
--- a/crates/scale/src/progress.rs
+++ b/crates/scale/src/progress.rs
@@ -1,33 +1,32 @@
-//! What is known of all nodes while a run goes on, without I/O: their last reports, and since when they have reached the
-//! present goal.
+//! The state of all nodes during a run, without I/O: their last reports, and when they reached the current goal.
 
 use crate::error::RunError;
 use crate::hollow_host::NodeReport;
 use std::collections::BTreeMap;
 
-/// What is known of one node.
+/// State of one node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeProgress {
-    /// Its last report.
+    /// The last report.
     pub report: NodeReport,
-    /// Since when it has reached the goal, in Unix microseconds.
+    /// Time at which the node reached the goal, in Unix microseconds.
     reached_at_us: Option<u64>,
 }
 
-/// What nodes are to reach.
+/// A state that all nodes are expected to reach.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Goal {
-    /// They know this limit of the budget.
+    /// Nodes know this limit of the budget.
     BudgetLimit(u32),
-    /// They know that the watched node is dead.
-    DeathKnown,
+    /// Nodes report the watched node as failed.
+    FailureKnown,
 }
 
 impl Goal {
     fn is_reached(&self, report: &NodeReport) -> bool {
         match self {
             Goal::BudgetLimit(limit) => report.budget_limit == *limit,
-            Goal::DeathKnown => !report.is_watched_alive,
+            Goal::FailureKnown => !report.is_watched_node_live,
         }
     }
 }
@@ -35,22 +34,22 @@
 /// Uses of the budget by one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BudgetUse {
-    /// When they were reported, in Unix microseconds.
+    /// Time of the report, in Unix microseconds.
     pub at_us: u64,
-    /// Their number.
+    /// Number of uses.
     pub count: u32,
 }
 
-/// How long nodes took to reach a goal.
+/// Times that nodes took to reach a goal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReachTimes {
-    /// Of each node that has reached it, in milliseconds.
+    /// Time of each node that reached the goal, in milliseconds.
     pub reached_ms: Vec<f64>,
-    /// The nodes that have not.
+    /// The nodes that have not reached the goal.
     pub missing: Vec<usize>,
 }
 
-/// What is known of all nodes.
+/// State of all nodes.
 #[derive(Debug, Default)]
 pub struct ClusterProgress {
     nodes: BTreeMap<usize, NodeProgress>,
@@ -60,7 +59,7 @@
 }
 
 impl ClusterProgress {
-    /// Takes a node's report.
+    /// Records a node's report.
     pub fn record(&mut self, report: NodeReport) {
         if report.use_count > 0 {
             self.budget_uses.push(BudgetUse {
@@ -76,7 +75,7 @@
         node.report = report;
     }
 
-    /// Sets a new goal: who has reached it already is known by the next reports.
+    /// Sets a new goal. Nodes that have already reached it count from their next reports.
     pub fn set_goal(&mut self, goal: Goal) {
         self.goal = Some(goal);
         for node in self.nodes.values_mut() {
@@ -84,22 +83,22 @@
         }
     }
 
-    /// Forgets a node that is no longer there.
-    pub fn forget(&mut self, node: usize) {
+    /// Removes a node, so that the goal does not wait for it.
+    pub fn remove_node(&mut self, node: usize) {
         self.nodes.remove(&node);
     }
 
-    /// What is known of one node.
+    /// Returns the state of one node.
     pub fn node(&self, node: usize) -> Option<&NodeProgress> {
         self.nodes.get(&node)
     }
 
-    /// The last reports of all nodes.
+    /// Returns the last reports of all nodes.
     pub fn reports(&self) -> impl Iterator<Item = &NodeReport> {
         self.nodes.values().map(|node| &node.report)
     }
 
-    /// How long after `since_us` each node has reached the goal.
+    /// Returns the time from `since_us` until each node reached the goal.
     pub fn reach_times(&self, since_us: u64) -> ReachTimes {
         let mut times = ReachTimes::default();
         for (number, node) in &self.nodes {
@@ -114,30 +113,31 @@
         times
     }
 
-    /// Those of the first `node_count` nodes that do not follow a leader yet, or do not count all others.
+    /// Returns those of the first `node_count` nodes that have no leader or budget limit yet, or do not report all
+    /// `node_count` nodes as live.
     pub fn unsettled_nodes(&self, node_count: usize) -> Vec<usize> {
         let is_settled = |node: &usize| {
             self.nodes.get(node).is_some_and(|node| {
                 let report = &node.report;
-                report.has_leader && report.budget_limit > 0 && report.living_count == node_count
+                report.has_leader && report.budget_limit > 0 && report.live_count == node_count
             })
         };
         (0..node_count).filter(|node| !is_settled(node)).collect()
     }
 
-    /// All uses of the budget, by time.
+    /// Returns all uses of the budget, ordered by time.
     pub fn sorted_budget_uses(&self) -> Vec<BudgetUse> {
         let mut uses = self.budget_uses.clone();
         uses.sort_unstable();
         uses
     }
 
-    /// Records that a process has failed; the first failure counts.
-    pub fn fail(&mut self, error: RunError) {
+    /// Records the failure of a process; only the first failure is kept.
+    pub fn record_failure(&mut self, error: RunError) {
         self.failure.get_or_insert(error);
     }
 
-    /// The first failure of a process.
+    /// Takes the first failure of a process.
     pub fn take_failure(&mut self) -> Option<RunError> {
         self.failure.take()
     }
--- a/crates/scale/src/regression.rs
+++ b/crates/scale/src/regression.rs
@@ -1,18 +1,18 @@
-//! Regression of figures against the size of the cluster, without I/O.
+//! Regression of metrics against the cluster size, without I/O.
 
 use serde_json::Value;
 
-/// A figure at one size.
+/// The value of a metric at one cluster size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// Number of nodes.
     pub size: f64,
-    /// The figure.
+    /// Value of the metric.
     pub value: f64,
 }
 
 impl Point {
-    /// A figure at this size.
+    /// Creates a point.
     pub fn new(size: f64, value: f64) -> Point {
         Point { size, value }
     }
@@ -21,34 +21,34 @@
 /// `base + slope * size` by least squares, with a power law for comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
-    /// The value at size 0.
+    /// Value at size 0.
     pub base: f64,
-    /// What each node adds.
+    /// Increase per node.
     pub slope: f64,
-    /// Root mean square of the differences, as a ratio of the mean.
+    /// Root mean square error, as a fraction of the mean.
     pub residual: f64,
-    /// The power law through the same points; none where a value is not above 0.
+    /// The power law for the same points; `None` if a value is not above 0.
     pub power_law: Option<PowerLaw>,
 }
 
-/// A power of the size, by least squares of the logarithms.
+/// A power of the size, by least squares on the logarithms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PowerLaw {
-    /// The value grows with this power of the size.
+    /// Exponent of the size.
     pub exponent: f64,
-    /// As that of [`LinearFit`].
+    /// As in [`LinearFit`].
     pub residual: f64,
 }
 
-/// `size * (base + slope * size)` by least squares: what each node adds grows with the size itself, as where each is told
-/// of each.
+/// `size * (base + slope * size)` by least squares of the value per node. That value grows with the size, for example if
+/// every node receives messages about every other node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuadraticFit {
-    /// What each node adds at size 0.
+    /// Value per node at size 0.
     pub base: f64,
-    /// How much more each node adds per node.
+    /// Increase of the value per node with each node.
     pub slope: f64,
-    /// As that of [`LinearFit`].
+    /// As in [`LinearFit`].
     pub residual: f64,
 }
 
@@ -59,13 +59,13 @@
         Some(LinearFit {
             base: line.base,
             slope: line.slope,
-            residual: residual(points, |size| line.at(size)),
+            residual: residual(points, |size| line.value_at(size)),
             power_law: PowerLaw::new(points),
         })
     }
 
     /// The value at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
@@ -83,7 +83,7 @@
         let line = Line::fit(&logarithms)?;
         Some(PowerLaw {
             exponent: line.slope,
-            residual: residual(points, |size| line.at(size.ln()).exp()),
+            residual: residual(points, |size| line.value_at(size.ln()).exp()),
         })
     }
 }
@@ -100,12 +100,12 @@
         Some(QuadraticFit {
             base: line.base,
             slope: line.slope,
-            residual: residual(points, |size| size * line.at(size)),
+            residual: residual(points, |size| size * line.value_at(size)),
         })
     }
 
     /// The value at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         size * (self.base + self.slope * size)
     }
 }
@@ -135,38 +135,38 @@
         })
     }
 
-    fn at(&self, size: f64) -> f64 {
+    fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
 
-/// Root mean square of what a law misses, as a ratio of the mean.
-fn residual(points: &[Point], law: impl Fn(f64) -> f64) -> f64 {
+/// Root mean square error of a model, as a fraction of the mean.
+fn residual(points: &[Point], model: impl Fn(f64) -> f64) -> f64 {
     let count = points.len() as f64;
     let squares = points
         .iter()
-        .map(|point| (point.value - law(point.size)).powi(2));
+        .map(|point| (point.value - model(point.size)).powi(2));
     let square_sum: f64 = squares.sum();
     let mean = points.iter().map(|point| point.value).sum::<f64>() / count;
     (square_sum / count).sqrt() / mean.abs().max(f64::MIN_POSITIVE)
 }
 
-/// A figure of a role, by the names in outcome files.
+/// A metric of a role, by the names in outcome files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Figure {
+pub struct Metric {
     /// The role.
     pub role: &'static str,
-    /// The figure.
+    /// Name of the metric.
     pub name: &'static str,
 }
 
-impl Figure {
-    /// A figure of a role.
-    pub const fn new(role: &'static str, name: &'static str) -> Figure {
-        Figure { role, name }
+impl Metric {
+    /// Creates a metric of a role.
+    pub const fn new(role: &'static str, name: &'static str) -> Metric {
+        Metric { role, name }
     }
 
-    /// Its points in several outcomes. Those in which no node had the role are left out.
+    /// Returns the points of several outcomes, without those in which no node had the role.
     pub fn points(&self, outcomes: &[Value]) -> Vec<Point> {
         outcomes
             .iter()
@@ -184,22 +184,22 @@
     }
 }
 
-/// The figures that are fitted.
-pub const FITTED_FIGURES: [Figure; 14] = [
-    Figure::new("leader", "bytes_out_per_s_mean"),
-    Figure::new("leader", "messages_per_s_mean"),
-    Figure::new("leader", "cpu_share_mean"),
-    Figure::new("control", "bytes_out_per_s_mean"),
-    Figure::new("control", "cpu_share_mean"),
-    Figure::new("seed", "bytes_out_per_s_mean"),
-    Figure::new("seed", "cpu_share_mean"),
-    Figure::new("node", "bytes_out_per_s_mean"),
-    Figure::new("node", "cpu_share_mean"),
-    Figure::new("node", "rss_mb_max"),
-    Figure::new("hollow-node", "bytes_out_per_s_mean"),
-    Figure::new("hollow-node", "messages_per_s_mean"),
-    Figure::new("hollow-node", "cpu_share_mean"),
-    Figure::new("hollow-node", "rss_mb_max"),
+/// The metrics to which models are fitted.
+pub const FITTED_METRICS: [Metric; 14] = [
+    Metric::new("leader", "bytes_out_per_s_mean"),
+    Metric::new("leader", "messages_per_s_mean"),
+    Metric::new("leader", "cpu_share_mean"),
+    Metric::new("control", "bytes_out_per_s_mean"),
+    Metric::new("control", "cpu_share_mean"),
+    Metric::new("seed", "bytes_out_per_s_mean"),
+    Metric::new("seed", "cpu_share_mean"),
+    Metric::new("node", "bytes_out_per_s_mean"),
+    Metric::new("node", "cpu_share_mean"),
+    Metric::new("node", "rss_mb_max"),
+    Metric::new("hollow-node", "bytes_out_per_s_mean"),
+    Metric::new("hollow-node", "messages_per_s_mean"),
+    Metric::new("hollow-node", "cpu_share_mean"),
+    Metric::new("hollow-node", "rss_mb_max"),
 ];
 
 #[cfg(test)]
--- a/crates/scale/src/regression/tests.rs
+++ b/crates/scale/src/regression/tests.rs
@@ -2,23 +2,23 @@
 use rstest::rstest;
 use serde_json::json;
 
-fn points_of(sizes: &[f64], law: impl Fn(f64) -> f64) -> Vec<Point> {
+fn points_of(sizes: &[f64], model: impl Fn(f64) -> f64) -> Vec<Point> {
     sizes
         .iter()
-        .map(|size| Point::new(*size, law(*size)))
+        .map(|size| Point::new(*size, model(*size)))
         .collect()
 }
 
 #[rstest]
-#[case::straight(|n| 3.0 + 2.0 * n, 2.0, None)]
-#[case::square(|n| 0.5 * n * n, 0.0, Some(2.0))]
-#[case::flat(|_| 7.0, 0.0, Some(0.0))]
-fn a_law_is_found_again(
-    #[case] law: fn(f64) -> f64,
+#[case::linear(|n| 3.0 + 2.0 * n, 2.0, None)]
+#[case::quadratic(|n| 0.5 * n * n, 0.0, Some(2.0))]
+#[case::constant(|_| 7.0, 0.0, Some(0.0))]
+fn a_fit_recovers_the_model(
+    #[case] model: fn(f64) -> f64,
     #[case] slope: f64,
     #[case] exponent: Option<f64>,
 ) {
-    let points = points_of(&[25.0, 50.0, 100.0, 400.0], law);
+    let points = points_of(&[25.0, 50.0, 100.0, 400.0], model);
     let line = LinearFit::new(&points).unwrap();
     match exponent {
         None => assert!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_cost_per_node_that_grows_with_the_size_is_found_again() {
+fn a_quadratic_fit_recovers_a_cost_per_node_that_grows_with_the_size() {
     let points = points_of(&[10.0, 25.0, 50.0, 100.0], |n| n * (900.0 + 18.0 * n));
     let fit = QuadraticFit::new(&points).unwrap();
     assert!(
@@ -42,12 +42,12 @@
     );
     assert!(
         LinearFit::new(&points).unwrap().residual > 0.1,
-        "a straight line does not hold"
+        "the linear fit must have a large residual"
     );
 }
 
 #[test]
-fn one_size_makes_no_line_and_a_role_that_nobody_had_is_left_out() {
+fn one_size_gives_no_fit_and_outcomes_without_the_role_are_skipped() {
     assert_eq!(
         LinearFit::new(&[Point::new(25.0, 1.0), Point::new(25.0, 2.0)]),
         None
@@ -57,8 +57,8 @@
         json!({"nodes": 20, "roles": {"node": {"processes": 2, "cpu_share_mean": 0.5}}}),
     ];
     assert_eq!(
-        Figure::new("node", "cpu_share_mean").points(&runs),
+        Metric::new("node", "cpu_share_mean").points(&runs),
         [Point::new(20.0, 0.5)]
     );
-    assert_eq!(Figure::new("control", "cpu_share_mean").points(&runs), []);
+    assert_eq!(Metric::new("control", "cpu_share_mean").points(&runs), []);
 }
--- a/crates/scale/src/run/admin_call.rs
+++ b/crates/scale/src/run/admin_call.rs
@@ -1,4 +1,4 @@
-//! Admin commands to real nodes, and what their status says.
+//! Admin commands to real nodes, and their cluster status.
 
 use crate::error::RunError;
 use serde_json::Value;
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a node may take to answer.
+/// Timeout of the connection attempt and of each read.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends a command and returns the answer behind `done`.
+/// Sends a command and returns the answer after `done`.
 pub(super) fn call(address: SocketAddr, command: &str) -> Result<String, RunError> {
     let answer =
         exchange(address, command).map_err(|source| RunError::AdminCall { address, source })?;
@@ -32,13 +32,13 @@
     Ok(answer)
 }
 
-/// The state of a node's cluster, as the node tells it.
+/// The state of the cluster as reported by a node.
 pub(super) struct ClusterStatus {
     status: Value,
 }
 
 impl ClusterStatus {
-    /// Asks a node.
+    /// Requests the status of a node.
     pub(super) fn request(address: SocketAddr) -> Result<ClusterStatus, RunError> {
         let text = call(address, "fleet status")?;
         Ok(ClusterStatus {
@@ -50,23 +50,23 @@
         &self.status["council"]
     }
 
-    /// Entries of the replicated log that the node has applied.
+    /// Returns the number of entries of the replicated log that the node has applied.
     pub(super) fn epoch(&self) -> u64 {
         self.control()["epoch"].as_u64().unwrap_or(0)
     }
 
-    /// The limit of the budget that the node knows.
+    /// Returns the limit of the budget known to the node.
     pub(super) fn budget_limit(&self) -> u32 {
         self.control()["whole"].as_u64().unwrap_or(0) as u32
     }
 
-    /// The leader's name, if the node knows one.
+    /// Returns the leader's name, if the node knows a leader.
     pub(super) fn leader(&self) -> Option<&str> {
         self.control()["leader"].as_str()
     }
 
-    /// Living nodes as far as the node knows, itself among them.
-    pub(super) fn living_count(&self) -> usize {
+    /// Returns the number of nodes that the node reports as live, including itself.
+    pub(super) fn live_count(&self) -> usize {
         self.status["alive"].as_u64().unwrap_or(0) as usize
     }
 
@@ -79,18 +79,18 @@
             .find(|member| member_name(member) == Some(name))
     }
 
-    /// Whether the member with this name is a voter.
+    /// Returns true if the member with this name is a voter.
     pub(super) fn is_voter(&self, name: &str) -> bool {
         self.member(name).is_some_and(is_voter)
     }
 
-    /// Whether the member with this name lives.
-    pub(super) fn is_alive(&self, name: &str) -> bool {
+    /// Returns true if the node reports the member with this name as live.
+    pub(super) fn is_live(&self, name: &str) -> bool {
         self.member(name)
             .is_some_and(|member| member["alive"] == true)
     }
 
-    /// The names of all voters.
+    /// Returns the names of all voters.
     pub(super) fn voters(&self) -> Vec<String> {
         self.members()
             .filter(|member| is_voter(member))
--- a/crates/scale/src/run/cluster.rs
+++ b/crates/scale/src/run/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of a run: proxies, real nodes and processes of hollow nodes.
+//! The proxies, real nodes and processes of hollow nodes of a run.
 
 use super::admin_call::ClusterStatus;
 use super::host_process::HostProcess;
@@ -17,19 +17,19 @@
 use std::sync::{mpsc, Arc};
 use std::thread::{self, JoinHandle};
 
-/// Hollow nodes of one process.
+/// Maximum number of hollow nodes per process.
 const MAX_NODES_PER_HOST: usize = 100;
-/// Lines of a node's log that are told of its end.
+/// Number of log lines in the error for a node that exited.
 const LOG_TAIL_LINE_COUNT: usize = 3;
 const US_PER_MS: u64 = 1000;
 
-/// The thread of the proxies.
+/// The thread that runs all proxies.
 struct ProxyThread {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-/// All processes of a run, which end when this is dropped.
+/// All processes of a run. They are killed when the cluster is dropped.
 pub(super) struct Cluster<'a> {
     options: &'a RunOptions,
     topology: Topology,
@@ -37,7 +37,7 @@
     hosts: Vec<HostProcess>,
     progress: SharedProgress,
     counters: Arc<TrafficCounters>,
-    /// Name of the node whose death is watched for; empty for none.
+    /// Name of the node whose failure is to be detected; empty for none.
     watched_node: String,
     folder: PathBuf,
     proxies: Option<ProxyThread>,
@@ -87,7 +87,7 @@
         let thread = thread::spawn(move || {
             let on_opened = |result| drop(opened_sender.send(result));
             if let Err(source) = counting_proxy::serve(&topology, proxy_options, on_opened) {
-                progress.lock().fail(RunError::Proxy { source });
+                progress.lock().record_failure(RunError::Proxy { source });
             }
         });
         self.proxies = Some(ProxyThread { stop, thread });
@@ -133,32 +133,32 @@
         Ok(())
     }
 
-    /// Options of the run.
+    /// Returns the options of the run.
     pub(super) fn options(&self) -> &'a RunOptions {
         self.options
     }
 
-    /// All nodes of the run.
+    /// Returns the nodes of the run.
     pub(super) fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// What is known of all nodes.
+    /// Returns the state of all nodes.
     pub(super) fn progress(&self) -> &SharedProgress {
         &self.progress
     }
 
-    /// The traffic of all nodes.
+    /// Returns the traffic counters.
     pub(super) fn counters(&self) -> &TrafficCounters {
         &self.counters
     }
 
-    /// The admin address of the first real node.
+    /// Returns the admin address of the first real node.
     pub(super) fn admin_address(&self) -> SocketAddr {
         self.real_nodes[0].admin_address()
     }
 
-    /// Fails if the run was stopped, or a process has ended.
+    /// Fails if the run was stopped, a process exited, or the proxies failed.
     pub(super) fn check(&mut self) -> Result<(), RunError> {
         if self.options.stop.load(Ordering::Relaxed) {
             return Err(RunError::Stopped);
@@ -178,15 +178,15 @@
         }
     }
 
-    /// Asks the real nodes for their state, which the hollow ones report by themselves.
+    /// Polls the state of the real nodes. Hollow nodes report their state without a request.
     pub(super) fn poll_real_nodes(&self) {
         let running = self.real_nodes.iter().enumerate();
         for (node, process) in running.filter(|(_, process)| process.is_running()) {
             let Ok(status) = ClusterStatus::request(process.admin_address()) else {
                 continue;
             };
-            let is_watched_alive =
-                self.watched_node.is_empty() || status.is_alive(&self.watched_node);
+            let is_watched_node_live =
+                self.watched_node.is_empty() || status.is_live(&self.watched_node);
             let report = NodeReport {
                 node,
                 at_us: unix_us(),
@@ -194,8 +194,8 @@
                 budget_limit: status.budget_limit(),
                 has_leader: status.leader().is_some(),
                 is_voter: status.is_voter(process.name()),
-                living_count: status.living_count(),
-                is_watched_alive,
+                live_count: status.live_count(),
+                is_watched_node_live,
                 ..NodeReport::default()
             };
             self.progress.lock().record(report);
@@ -209,14 +209,14 @@
             .try_for_each(|host| host.send(command))
     }
 
-    /// Sets the demand of all hollow nodes together, as a ratio of the budget's limit in a second.
+    /// Sets the total demand of the hollow nodes, as a ratio of the budget's limit per second.
     pub(super) fn set_demand(&mut self, ratio: f64) -> Result<(), RunError> {
         let budget_limit = f64::from(self.topology.budget_limit);
         let hollow_count = self.topology.hollow_count.max(1) as f64;
         self.send(&HostCommand::Demand(ratio * budget_limit / hollow_count))
     }
 
-    /// Lets all nodes watch for the death of a node.
+    /// Makes all nodes report whether this node is live.
     pub(super) fn watch(&mut self, node: usize) -> Result<(), RunError> {
         self.watched_node = self.topology.name(node);
         self.send(&HostCommand::Watch(self.watched_node.clone()))
@@ -227,20 +227,20 @@
         self.real_nodes[node].kill();
     }
 
-    /// What each node has cost until now.
+    /// Returns the current readings of all nodes.
     pub(super) fn readings(&self) -> Vec<NodeReading> {
         let memory_kb = self.hollow_memory_kb();
         let nodes = 0..self.topology.node_count();
         nodes.map(|node| self.reading(node, &memory_kb)).collect()
     }
 
-    /// Resident memory of each hollow node, in the order of their numbers.
+    /// Returns the resident memory of each hollow node, in the order of node numbers.
     fn hollow_memory_kb(&self) -> Vec<u64> {
         let hosts = self.hosts.iter();
         hosts
             .flat_map(|host| {
-                let each = host.resident_kb_per_node();
-                std::iter::repeat_n(each, host.nodes().len())
+                let node_kb = host.resident_kb_per_node();
+                std::iter::repeat_n(node_kb, host.nodes().len())
             })
             .collect()
     }
@@ -269,7 +269,7 @@
     }
 }
 
-/// The folder of the real nodes' files.
+/// Returns the folder of the real nodes' files.
 fn temporary_folder(topology: &Topology) -> PathBuf {
     let process = std::process::id();
     let block = topology.address_block;
@@ -277,7 +277,7 @@
     std::env::temp_dir().join(name)
 }
 
-/// The last lines of a node's log, the last one first.
+/// Returns the last lines of a node's log, in reverse order.
 fn log_tail(node: &NodeProcess) -> String {
     let log = std::fs::read_to_string(node.log_path()).unwrap_or_default();
     let lines: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINE_COUNT).collect();
--- a/crates/scale/src/run/host_process.rs
+++ b/crates/scale/src/run/host_process.rs
@@ -1,4 +1,4 @@
-//! A process of hollow nodes, from the side of the run.
+//! The handle of a run to a process of hollow nodes.
 
 use super::SharedProgress;
 use crate::error::RunError;
@@ -10,14 +10,14 @@
 use std::process::{Child, ChildStdout, Command, Stdio};
 use std::thread;
 
-/// A process of hollow nodes, which is killed when this is dropped.
+/// A process of hollow nodes. It is killed when the handle is dropped.
 pub(super) struct HostProcess {
     child: Child,
     nodes: Range<usize>,
 }
 
 impl HostProcess {
-    /// Starts a process; its reports go into `progress`.
+    /// Starts a process and records its reports in `progress`.
     pub(super) fn start(
         program: &Path,
         request: &HostRequest,
@@ -38,7 +38,7 @@
         let output = output.ok_or(RunError::NoPipe { pipe: "output" })?;
         let first_name = request.topology.name(request.first_node);
         let host = format!(
-            "the process of {first_name} and {} after it",
+            "process of {first_name} and {} further hollow nodes",
             request.node_count - 1
         );
         let progress = progress.clone();
@@ -59,30 +59,30 @@
         })
     }
 
-    /// The nodes of the process.
+    /// Returns the nodes of the process.
     pub(super) fn nodes(&self) -> &Range<usize> {
         &self.nodes
     }
 
-    /// The process's resident memory in kB, divided by its nodes.
+    /// Returns the process's resident memory in kB, divided by the number of its nodes.
     pub(super) fn resident_kb_per_node(&self) -> u64 {
         resident_kb(self.child.id()).unwrap_or(0) / self.nodes.len() as u64
     }
 }
 
-/// Records a process's reports until its output ends, which is a failure of the run.
+/// Records a process's reports until its output ends. The end of output fails the run: the process exited.
 fn read_reports(output: ChildStdout, host: &str, progress: &SharedProgress) {
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         match serde_json::from_str::<NodeReport>(&line) {
             Ok(report) => progress.lock().record(report),
-            Err(source) => progress.lock().fail(RunError::HostReport {
+            Err(source) => progress.lock().record_failure(RunError::HostReport {
                 host: host.to_string(),
                 line,
                 source,
             }),
         }
     }
-    progress.lock().fail(RunError::HostEnded {
+    progress.lock().record_failure(RunError::HostEnded {
         host: host.to_string(),
     });
 }
--- a/crates/scale/src/run/measurement.rs
+++ b/crates/scale/src/run/measurement.rs
@@ -1,4 +1,4 @@
-//! What is awaited and measured of a cluster.
+//! The conditions that a run waits for, and its measurements.
 
 use super::admin_call::{self, ClusterStatus};
 use super::cluster::Cluster;
@@ -15,57 +15,57 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How often it is looked whether something has been reached.
+/// Interval between checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often real nodes are asked for their state while something is awaited.
+/// Interval at which real nodes are polled while a change propagates.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The same while the cluster becomes ready.
+/// Interval at which real nodes are polled while the cluster becomes ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a change, or a death, may take to be known by all nodes.
+/// Maximum time until all nodes know a new limit, or the failure of a node.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Voters that remain once the cluster is ready.
+/// Maximum number of voters once the cluster is ready.
 const MAX_VOTER_COUNT: usize = 5;
-/// Leases that were granted before are over so long after the budget's saturation began.
+/// Time after the start of saturation until leases granted earlier have expired.
 const SATURATION_LEAD_SECONDS: f64 = 3.0;
 const US_PER_SECOND: f64 = 1e6;
 
-/// What is missing of what is awaited.
+/// An unmet condition.
 #[derive(Clone, Debug, Error)]
 pub(super) enum Pending {
-    #[error("{count} of {total} nodes do not take part yet, first {first_name}: {first_state}")]
+    #[error("{count} of {total} nodes are not ready, first {first_name}: {first_state}")]
     Unsettled {
         count: usize,
         total: usize,
         first_name: String,
         first_state: String,
     },
-    #[error("{count} nodes vote")]
+    #[error("{count} voters")]
     Voters { count: usize },
-    #[error("{count} nodes do not hold it")]
+    #[error("{count} nodes not reached")]
     Unreached { count: usize },
 }
 
-/// The start of a run, by two clocks.
+/// The start of a run, on the monotonic clock and on the system clock.
 pub(super) struct RunClock {
     started_at: Instant,
     started_unix_us: u64,
 }
 
-/// A span in which the budget was saturated, in seconds after the start.
+/// A span in which the budget was saturated, in seconds since the start.
 #[derive(Clone, Copy)]
 pub(super) struct SaturatedSpan {
     pub(super) from_s: f64,
     pub(super) to_s: f64,
 }
 
-/// The usage of the budget, and what is wrong with it.
+/// The usage of the budget, and the violations of its rules.
 pub(super) struct CheckedBudget {
     pub(super) report: BudgetReport,
     pub(super) violations: Vec<String>,
 }
 
 impl RunClock {
-    /// The run starts now.
+    /// Starts the clock.
     pub(super) fn start() -> RunClock {
         RunClock {
             started_at: Instant::now(),
@@ -73,23 +73,23 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start, by the monotonic clock.
     pub(super) fn elapsed(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Seconds since the start, by the clock of reports.
+    /// Returns the seconds since the start, by the system clock, which reports use too.
     pub(super) fn seconds_now(&self) -> f64 {
         unix_us().saturating_sub(self.started_unix_us) as f64 / US_PER_SECOND
     }
 
-    /// The moment of a report.
+    /// Converts the time of a report.
     fn instant_of(&self, at_us: u64) -> Instant {
         self.started_at + Duration::from_micros(at_us.saturating_sub(self.started_unix_us))
     }
 }
 
-/// Whether all nodes follow one leader and count each other.
+/// Checks that all nodes have a leader and a budget limit, and report all nodes as live.
 pub(super) fn check_settled(
     progress: &ClusterProgress,
     topology: &Topology,
@@ -100,10 +100,10 @@
         return Ok(());
     };
     let first_state = match progress.node(*first) {
-        None => "says nothing".to_string(),
+        None => "no report".to_string(),
         Some(node) => format!(
-            "led {}, whole {}, counts {} of {total}",
-            node.report.has_leader, node.report.budget_limit, node.report.living_count
+            "leader known: {}, budget limit {}, {} of {total} nodes live",
+            node.report.has_leader, node.report.budget_limit, node.report.live_count
         ),
     };
     Err(Pending::Unsettled {
@@ -114,7 +114,7 @@
     })
 }
 
-/// Whether few nodes vote.
+/// Checks that the number of voters is at most the maximum.
 pub(super) fn check_voters(progress: &ClusterProgress) -> Result<(), Pending> {
     let count = progress.reports().filter(|report| report.is_voter).count();
     if count <= MAX_VOTER_COUNT {
@@ -123,7 +123,7 @@
     Err(Pending::Voters { count })
 }
 
-/// Who leads and votes in the control group.
+/// The leader and the voters of the control group.
 pub(super) struct Leadership {
     pub(super) leader: String,
     pub(super) voters: Vec<String>,
@@ -134,21 +134,23 @@
         self.voters.iter().any(|voter| voter == name)
     }
 
-    /// Whether a node neither leads nor votes.
-    pub(super) fn has_no_duty(&self, name: &str) -> bool {
+    /// Returns true if a node is neither the leader nor a voter.
+    pub(super) fn is_plain_learner(&self, name: &str) -> bool {
         !self.is_voter(name) && name != self.leader
     }
 
-    /// What each role has cost. The leader is a voter too.
+    /// Computes the cost of each role. The leader counts both as leader and as voter.
     pub(super) fn role_costs(
         &self,
         topology: &Topology,
         samples: &[Sample],
     ) -> BTreeMap<&'static str, RoleCost> {
         let nodes = 0..topology.node_count();
-        let with_name = |is: &dyn Fn(&str) -> bool| -> Vec<usize> {
+        let with_name = |predicate: &dyn Fn(&str) -> bool| -> Vec<usize> {
             let nodes = nodes.clone();
-            nodes.filter(|node| is(&topology.name(*node))).collect()
+            nodes
+                .filter(|node| predicate(&topology.name(*node)))
+                .collect()
         };
         let non_voters = with_name(&|name| !self.is_voter(name));
         let first_plain_hollow = topology.real_count.max(SEED_COUNT);
@@ -172,7 +174,7 @@
 }
 
 impl Cluster<'_> {
-    /// Waits until something is reached; what is missing if that takes longer than `timeout`.
+    /// Waits until a condition is met. Returns the unmet condition if that takes longer than `timeout`.
     fn wait_for(
         &mut self,
         timeout: Duration,
@@ -180,7 +182,7 @@
         poll_interval: Duration,
         check: impl Fn(&ClusterProgress) -> Result<(), Pending>,
     ) -> Result<Option<Pending>, RunError> {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         let mut polled_at: Option<Instant> = None;
         loop {
             self.check()?;
@@ -193,14 +195,14 @@
                 return Ok(None);
             };
             (self.options().on_progress)(&format!("{activity}: {pending}"));
-            if began_at.elapsed() >= timeout {
+            if started_at.elapsed() >= timeout {
                 return Ok(Some(pending));
             }
             thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    /// Waits until the cluster is ready in some respect.
+    /// Waits until a condition of readiness is met.
     pub(super) fn wait_until_ready(
         &mut self,
         timeout: Duration,
@@ -216,12 +218,8 @@
         }
     }
 
-    /// Waits until a moment, while nothing has failed.
-    pub(super) fn keep_going_until(
-        &mut self,
-        until: Instant,
-        activity: &str,
-    ) -> Result<(), RunError> {
+    /// Sleeps until a time; fails if a process fails or the run is stopped.
+    pub(super) fn sleep_until(&mut self, until: Instant, activity: &str) -> Result<(), RunError> {
         while Instant::now() < until {
             self.check()?;
             (self.options().on_progress)(activity);
@@ -230,27 +228,27 @@
         Ok(())
     }
 
-    /// Takes a sample of all costs once a second.
+    /// Samples the readings of all nodes once a second.
     pub(super) fn measure(&mut self) -> Result<Vec<Sample>, RunError> {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         let mut samples = vec![Sample {
             at_s: 0.0,
             nodes: self.readings(),
         }];
         let measured_s = self.options().measured_s;
         for second in 1..=measured_s.round() as u32 {
-            let until = began_at + Duration::from_secs(u64::from(second));
-            let activity = format!("measures: {second} of {measured_s} s");
-            self.keep_going_until(until, &activity)?;
+            let until = started_at + Duration::from_secs(u64::from(second));
+            let activity = format!("measuring: {second} of {measured_s} s");
+            self.sleep_until(until, &activity)?;
             samples.push(Sample {
-                at_s: began_at.elapsed().as_secs_f64(),
+                at_s: started_at.elapsed().as_secs_f64(),
                 nodes: self.readings(),
             });
         }
         Ok(samples)
     }
 
-    /// Who leads and votes, as the first real node says.
+    /// Returns the leader and the voters as reported by the first real node.
     pub(super) fn leadership(&self) -> Result<Leadership, RunError> {
         let status = ClusterStatus::request(self.admin_address())?;
         Ok(Leadership {
@@ -259,7 +257,7 @@
         })
     }
 
-    /// Changes the budget's limit and measures how long nodes take to know it.
+    /// Changes the budget's limit and measures the time until nodes know it.
     pub(super) fn change_limit(
         &mut self,
         limit: u32,
@@ -269,21 +267,21 @@
         let since_us = unix_us();
         let command = format!("budgets set cold={limit}");
         admin_call::call(self.admin_address(), &command)?;
-        self.measure_propagation("a change", since_us, times)
+        self.measure_propagation("propagating the new limit", since_us, times)
     }
 
-    /// Kills a real node and measures how long the others take to know it.
+    /// Kills a real node and measures the time until the other nodes detect the failure.
     pub(super) fn kill_and_watch(
         &mut self,
         node: usize,
         times: &mut PropagationTimes,
     ) -> Result<(), RunError> {
         self.watch(node)?;
-        self.progress().lock().set_goal(Goal::DeathKnown);
-        self.progress().lock().forget(node);
+        self.progress().lock().set_goal(Goal::FailureKnown);
+        self.progress().lock().remove_node(node);
         let since_us = unix_us();
         self.kill(node);
-        self.measure_propagation("a death", since_us, times)
+        self.measure_propagation("detecting the node failure", since_us, times)
     }
 
     fn measure_propagation(
@@ -297,14 +295,14 @@
             0 => Ok(()),
             count => Err(Pending::Unreached { count }),
         };
-        // The outcome tells how many nodes were not reached.
+        // A timeout is no error: the outcome contains the number of nodes not reached.
         let _ = self.wait_for(PROPAGATION_TIMEOUT, activity, POLL_INTERVAL, check)?;
         let reached = self.progress().lock().reach_times(since_us);
         times.add(&reached.reached_ms, reached.missing.len());
         Ok(())
     }
 
-    /// Checks the budget's usage as nodes have reported it.
+    /// Checks the usage of the budget that nodes reported.
     pub(super) fn check_budget(
         &self,
         clock: &RunClock,
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -1,5 +1,5 @@
-//! One run: all processes start and the cluster becomes ready; then the cost of the control plane is measured second by
-//! second, the budget's limit is changed, the budget is saturated, and a node is killed.
+//! A run: starts all processes and waits until the cluster is ready, measures the cost of the control plane second by
+//! second, changes the budget's limit, saturates the budget, and kills a node.
 
 mod admin_call;
 mod cluster;
@@ -17,19 +17,19 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The limit of the budget for each node, in uses a second.
+/// Limit of the budget per node, in uses per second.
 const BUDGET_LIMIT_PER_NODE: u32 = 4;
-/// Demand of all nodes together, as a ratio of the budget's limit in a second.
+/// Total demand of all hollow nodes, as a ratio of the budget's limit per second.
 const IDLE_DEMAND_RATIO: f64 = 0.25;
 const SATURATED_DEMAND_RATIO: f64 = 3.0;
-/// How long the budget is saturated.
+/// Duration of the budget's saturation.
 const SATURATION_DURATION: Duration = Duration::from_secs(8);
 /// Number of changes of the budget's limit.
 const CHANGE_COUNT: u32 = 3;
-/// The least time that the number of voters has to go down.
+/// Minimum time allowed for the reduction of the number of voters.
 const MIN_VOTER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is known of all nodes, shared with the threads that read their reports.
+/// State of all nodes, shared with the threads that read reports.
 #[derive(Clone, Default)]
 struct SharedProgress(Arc<Mutex<ClusterProgress>>);
 
@@ -39,11 +39,11 @@
     }
 }
 
-/// Carries out a run.
+/// Executes a run.
 ///
 /// # Errors
 ///
-/// If the options are out of bounds, or the run could not be carried out; violations are part of the outcome.
+/// If an option is invalid or the run fails. Violations are not errors but part of the outcome.
 pub fn run(options: &RunOptions) -> Result<Outcome, RunError> {
     options.validate()?;
     let reservation = BlockReservation::reserve()?;
@@ -64,8 +64,8 @@
     let roles = leadership.role_costs(&topology, &samples);
     let change_times = change_limits(&mut cluster)?;
     let saturated_span = saturate_budget(&mut cluster, &clock)?;
-    let death_times = kill_a_node(&mut cluster, &leadership)?;
-    // Leases of the changed limits may still be in use.
+    let failure_times = kill_a_node(&mut cluster, &leadership)?;
+    // Leases granted under the changed limits may still be in use.
     let max_limit = topology.budget_limit + CHANGE_COUNT;
     let budget = cluster.check_budget(&clock, max_limit, saturated_span);
     Ok(Outcome {
@@ -82,7 +82,7 @@
         leader: leadership.leader,
         roles,
         change_times,
-        death_times,
+        failure_times,
         budgets: vec![budget.report],
         violations: budget.violations,
         lost_count: cluster.counters().lost(),
@@ -94,26 +94,30 @@
     Duration::from_secs_f64(cluster.options().settle_timeout_s)
 }
 
-/// Waits until all nodes follow one leader, and returns the seconds that it took.
+/// Waits until all nodes are ready, and returns the seconds since the start.
 fn wait_until_settled(cluster: &mut Cluster, clock: &RunClock) -> Result<f64, RunError> {
     let timeout = settle_timeout(cluster);
     let topology = cluster.topology().clone();
-    cluster.wait_until_ready(timeout, "nodes get ready", |progress| {
+    cluster.wait_until_ready(timeout, "waiting for nodes", |progress| {
         measurement::check_settled(progress, &topology)
     })?;
     Ok(clock.elapsed().as_secs_f64())
 }
 
-/// Waits until few nodes vote, and returns the seconds since the start: all expected nodes bootstrap the control group with
-/// a vote each, and give it up one by one.
+/// Waits until the number of voters is reduced, and returns the seconds since the start. All expected nodes bootstrap
+/// the control group as voters, and become learners one by one.
 fn wait_until_voters_reduced(cluster: &mut Cluster, clock: &RunClock) -> Result<f64, RunError> {
     let remaining = settle_timeout(cluster).saturating_sub(clock.elapsed());
     let timeout = remaining.max(MIN_VOTER_TIMEOUT);
-    cluster.wait_until_ready(timeout, "votes go down", measurement::check_voters)?;
+    cluster.wait_until_ready(
+        timeout,
+        "reducing the number of voters",
+        measurement::check_voters,
+    )?;
     Ok(clock.elapsed().as_secs_f64())
 }
 
-/// Changes the budget's limit several times, at last to what it was.
+/// Changes the budget's limit several times, finally back to its original value.
 fn change_limits(cluster: &mut Cluster) -> Result<PropagationTimes, RunError> {
     let mut times = PropagationTimes::default();
     for change in 1..=CHANGE_COUNT {
@@ -124,16 +128,16 @@
     Ok(times)
 }
 
-/// Lets all nodes want more than the budget's limit for a while, and returns that span.
+/// Raises the demand of the hollow nodes above the budget's limit for a while, and returns the span.
 fn saturate_budget(
     cluster: &mut Cluster,
     clock: &RunClock,
 ) -> Result<measurement::SaturatedSpan, RunError> {
     let from_s = clock.seconds_now();
     cluster.set_demand(SATURATED_DEMAND_RATIO)?;
-    cluster.keep_going_until(
+    cluster.sleep_until(
         Instant::now() + SATURATION_DURATION,
-        "the budget is pressed",
+        "saturating the budget",
     )?;
     cluster.set_demand(0.0)?;
     Ok(measurement::SaturatedSpan {
@@ -150,7 +154,7 @@
     let mut times = PropagationTimes::default();
     let topology = cluster.topology();
     let mut candidates = (1..topology.real_count).rev();
-    let victim = candidates.find(|node| leadership.has_no_duty(&topology.name(*node)));
+    let victim = candidates.find(|node| leadership.is_plain_learner(&topology.name(*node)));
     if let Some(victim) = victim {
         cluster.kill_and_watch(victim, &mut times)?;
     }
--- a/crates/scale/src/topology.rs
+++ b/crates/scale/src/topology.rs
@@ -1,37 +1,37 @@
-//! The nodes of a run: their names, addresses and configuration.
+//! The nodes of a run: names, addresses and configuration.
 
 use lupincrank_fault_injection::node_process::AddressBlock;
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::net::{IpAddr, SocketAddr};
 
-/// The configuration that a node's is made from.
+/// Template of the configuration of each node.
 const EXAMPLE_CONFIG: &str = include_str!("../../../examples/config.json");
-/// The port for other nodes at the address of each real one.
+/// Port for other nodes, at the address of each real node.
 const CLUSTER_PORT: u16 = 7400;
-/// Hollow nodes and proxies share an address each, with ports from this on.
+/// First port of the hollow nodes, which share one address, and of the proxies, which share another.
 const FIRST_PORT: u16 = 10_000;
 const UNUSED_HOST: u8 = 251;
 const PROXY_HOST: u8 = 252;
 const HOLLOW_HOST: u8 = 253;
 const ZONE_COUNT: usize = 3;
-/// The first so many nodes are seeds.
+/// Number of seeds: the first nodes.
 pub const SEED_COUNT: usize = 3;
-/// Spreads the run's seed over its nodes.
+/// Greater than any number of nodes, so that runs with different seeds use different node seeds.
 const NODE_SEED_MULTIPLIER: u64 = 1_000_003;
 
-/// All nodes of a run, by number: first the real ones, whose names also come first in the order of names.
+/// All nodes of a run, by number: the real nodes come first, also in the order of names.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// Number of real processes.
+    /// Number of real nodes: processes of the program.
     pub real_count: usize,
     /// Number of hollow nodes.
     pub hollow_count: usize,
-    /// Number of nodes that the operator's file names.
+    /// Number of nodes that the operator's file lists.
     pub expected_count: usize,
-    /// The block of loopback addresses.
+    /// Block of loopback addresses.
     pub address_block: AddressBlock,
-    /// The limit of the warm-up budget.
+    /// Limit of the slow-start budget.
     pub budget_limit: u32,
 }
 
@@ -41,12 +41,12 @@
         self.real_count + self.hollow_count
     }
 
-    /// Whether a node is a real process.
+    /// Returns true if a node is a process of the program.
     fn is_real(&self, node: usize) -> bool {
         node < self.real_count
     }
 
-    /// A node's name.
+    /// Returns a node's name.
     pub fn name(&self, node: usize) -> String {
         if self.is_real(node) {
             format!("a{node:02}")
@@ -55,17 +55,17 @@
         }
     }
 
-    /// A node's zone.
+    /// Returns a node's zone.
     pub fn zone(&self, node: usize) -> String {
         format!("zone{}", node % ZONE_COUNT)
     }
 
-    /// A real node's address.
+    /// Returns a real node's address.
     pub fn ip(&self, node: usize) -> IpAddr {
         self.address_block.address(1 + node as u8)
     }
 
-    /// The address at which a node listens for others.
+    /// Returns the address at which a node listens for other nodes.
     pub fn cluster_address(&self, node: usize) -> SocketAddr {
         if self.is_real(node) {
             return SocketAddr::new(self.ip(node), CLUSTER_PORT);
@@ -73,7 +73,7 @@
         self.numbered_address(HOLLOW_HOST, node)
     }
 
-    /// The address of the proxy by which others reach a node.
+    /// Returns the address of the proxy in front of a node.
     pub fn proxy_address(&self, node: usize) -> SocketAddr {
         self.numbered_address(PROXY_HOST, node)
     }
@@ -82,11 +82,11 @@
         SocketAddr::new(self.address_block.address(host), FIRST_PORT + node as u16)
     }
 
-    /// A node's configuration.
+    /// Creates a node's configuration.
     ///
     /// # Errors
     ///
-    /// If the example is not JSON.
+    /// If the template is not JSON.
     pub fn config(&self, node: usize, seed: u64) -> serde_json::Result<Value> {
         let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
         let ip = if self.is_real(node) {
@@ -100,13 +100,14 @@
         config["name"] = json!(self.name(node));
         config["listen"] = json!(format!("{ip}:8000"));
         config["management"] = json!(format!("{ip}:8001"));
-        // Nobody listens there: a run is of the control plane alone.
+        // Nothing listens at this address: a run covers only the control plane.
         config["discovery"] = json!(format!("{ip}:9"));
         config["seed"] = json!(format!("{node_seed:x}"));
         Ok(config)
     }
 
-    /// The operator's file of a real node, or that of all hollow ones, whose address and zone are in their environment.
+    /// Creates the operator's file of a real node, or of all hollow nodes, whose address and zone are in their
+    /// environment.
     pub fn operator_file(&self, real_node: Option<usize>) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
@@ -142,7 +143,7 @@
         writeln!(text, "[budgets.cold]\nwhole = {}", self.budget_limit)
     }
 
-    /// The value of a variable in a hollow node's environment.
+    /// Returns the value of an environment variable of a hollow node.
     pub fn environment_variable(&self, node: usize, name: &str) -> Option<String> {
         match name {
             "RELAY_NAME" => Some(self.name(node)),
--- a/crates/scale/tests/runs.rs
+++ b/crates/scale/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs of the program, small ones.
+//! Small runs of the whole program, and its errors for invalid input.
 
 use rstest::rstest;
 use rustix::process::{kill_process, Pid, Signal};
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// The program beside this one: built by the same `cargo test --workspace`.
+/// Path of the node program, which the same `cargo test --workspace` builds in the directory of `lupincrank-scale`.
 fn program() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_lupincrank-scale")).with_file_name("lupincrank")
 }
@@ -20,38 +20,38 @@
 }
 
 #[rstest]
-#[case::no_nodes(&["--nodes", "0"], "--nodes: 0 is not in 4 to 1000")]
-#[case::too_many(&["--nodes", "1001"], "--nodes: 1001 is not in 4 to 1000")]
+#[case::zero_nodes(&["--nodes", "0"], "--nodes: 0 is not in 4 to 1000")]
+#[case::too_many_nodes(&["--nodes", "1001"], "--nodes: 1001 is not in 4 to 1000")]
 #[case::more_real_than_nodes(&["--nodes", "10", "--real", "11"], "--real: 11 is not in 2 to 10")]
 #[case::more_expected_than_nodes(&["--nodes", "10", "--expected", "11"], "--expected: 11 is not in 3 to 10")]
-#[case::no_time(&["--nodes", "10", "--seconds", "0"], "--seconds: 0 is not in 1 to 600")]
-#[case::no_number(&["--nodes", "10", "--seconds", "NaN"], "--seconds: NaN is not in 1 to 600")]
-#[case::all_lost(&["--nodes", "10", "--loss", "1"], "--loss: 1 is not in 0 to 0.9")]
-#[case::no_descriptors(&["--nodes", "1000"], "--nodes: 1000 with 1000 of them in the file take 1003100 descriptors")]
-#[case::no_program(&["--nodes", "10", "--program", "/nowhere"], "--program: \"/nowhere\" is no file")]
-fn bad_input_names_its_place(#[case] more: &[&str], #[case] why: &str) {
+#[case::zero_seconds(&["--nodes", "10", "--seconds", "0"], "--seconds: 0 is not in 1 to 600")]
+#[case::seconds_nan(&["--nodes", "10", "--seconds", "NaN"], "--seconds: NaN is not in 1 to 600")]
+#[case::loss_too_high(&["--nodes", "10", "--loss", "1"], "--loss: 1 is not in 0 to 0.9")]
+#[case::too_few_descriptors(&["--nodes", "1000"], "--nodes: 1000 nodes, 1000 of them in the operator's file, need 1003100 file descriptors")]
+#[case::program_missing(&["--nodes", "10", "--program", "/nowhere"], "--program: \"/nowhere\" is not a file")]
+fn the_error_for_an_invalid_option_names_it(#[case] more: &[&str], #[case] message: &str) {
     let output = scale(&[&["run"], more].concat());
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(2) && stderr.contains(why),
+        output.status.code() == Some(2) && stderr.contains(message),
         "{:?}: {stderr}",
         output.status
     );
 }
 
 #[rstest]
-#[case::not_there("/nowhere.json", "/nowhere.json: ")]
+#[case::missing("/nowhere.json", "/nowhere.json: ")]
 #[case::not_json(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/runs.rs"), "runs.rs: expected value")]
-fn a_file_that_is_no_outcome_is_named(#[case] file: &str, #[case] why: &str) {
+fn the_error_for_an_invalid_outcome_file_names_it(#[case] file: &str, #[case] message: &str) {
     let output = scale(&["fit", file]);
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(2) && stderr.contains(why),
+        output.status.code() == Some(2) && stderr.contains(message),
         "{stderr}"
     );
 }
 
-/// Runs a cluster with these arguments, and returns its outcome.
+/// Runs a cluster with these arguments, and returns the outcome.
 fn run_cluster(arguments: &[&str]) -> Value {
     let file_name = format!("lupincrank-scale-test-{}.json", std::process::id());
     let path = std::env::temp_dir().join(file_name);
@@ -76,7 +76,8 @@
     outcome
 }
 
-/// Twenty nodes, twelve of them real: a hollow one sends what a real one does, and each part of the outcome is there.
+/// In a cluster of 12 real and 8 hollow nodes, hollow nodes send as much as real nodes, within 25%, and the outcome is
+/// complete.
 #[test]
 fn a_hollow_node_costs_the_messages_of_a_real_one() {
     let outcome = run_cluster(&[
@@ -93,17 +94,21 @@
         (outcome["nodes"].as_u64(), outcome["real"].as_u64()),
         (Some(20), Some(12))
     );
-    assert_eq!(outcome["unknown"], 0, "the proxies know all traffic");
-    let figure = |role: &str, name: &str| outcome["roles"][role][name].as_f64().unwrap();
-    // Five vote, whichever they are: of the nine real ones that are no seeds, and of the eight hollow ones, some are left.
+    assert_eq!(
+        outcome["unknown"], 0,
+        "the proxies attribute and decode all traffic"
+    );
+    let metric = |role: &str, name: &str| outcome["roles"][role][name].as_f64().unwrap();
+    // Any five nodes are the voters, so at least four of the nine real nodes that are not seeds, and three of the eight
+    // hollow nodes, are not voters.
     for name in ["messages_per_s_mean", "bytes_out_per_s_mean"] {
-        let (real, hollow) = (figure("node", name), figure("hollow-node", name));
+        let (real, hollow) = (metric("node", name), metric("hollow-node", name));
         assert!(
             (hollow / real - 1.0).abs() < 0.25,
-            "{name}: a real one {real}, a hollow one {hollow}"
+            "{name}: real node {real}, hollow node {hollow}"
         );
     }
-    assert!(figure("control", "bytes_out_per_s_mean") > figure("node", "bytes_out_per_s_mean"));
+    assert!(metric("control", "bytes_out_per_s_mean") > metric("node", "bytes_out_per_s_mean"));
     for key in ["p50", "p99", "all"] {
         assert!(
             outcome["change_ms"][key].as_f64().unwrap() > 0.0,
@@ -119,7 +124,7 @@
     assert!(budget["total"].as_u64().unwrap() > 0);
 }
 
-/// The child processes of a process.
+/// Returns the child processes of a process.
 fn children_of(process: u32) -> Vec<u32> {
     let processes = std::fs::read_dir("/proc")
         .unwrap()
@@ -138,14 +143,14 @@
         .collect()
 }
 
-/// The first argument of a process.
+/// Returns the first argument of a process.
 fn first_argument(pid: u32) -> String {
     let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
     let argument = line.split(|byte| *byte == 0).nth(1).unwrap_or_default();
     String::from_utf8_lossy(argument).into_owned()
 }
 
-/// Whether a process runs, and is not only waited for.
+/// Returns true if a process exists and is not a zombie.
 fn is_running(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit_once(')')
@@ -164,14 +169,14 @@
 }
 
 impl RunProcesses {
-    /// Waits until a run has started two real nodes and one process of hollow ones.
+    /// Waits until a run has started two real nodes and one process of hollow nodes.
     fn await_started(run: u32) -> RunProcesses {
         let deadline = Instant::now() + Duration::from_secs(30);
         let mut processes = RunProcesses::default();
         while (processes.real_nodes.len(), processes.hosts.len()) != (2, 1) {
             assert!(
                 Instant::now() < deadline,
-                "two real nodes begin and one process of hollow ones: {processes:?}"
+                "expected two real nodes and one process of hollow nodes: {processes:?}"
             );
             let children = children_of(run);
             let with_argument = |argument: &str| {
@@ -212,14 +217,14 @@
     kill(run.id(), signal).unwrap();
     assert_eq!(run.wait().unwrap().code(), code);
     if signal == Signal::KILL {
-        // It can't end the real ones any more: they are ended here, by id, before anything else can fail.
+        // A killed run can't stop its real nodes: the test kills them, by id, before any other assertion can fail.
         for pid in processes.real_nodes.drain(..) {
             let _ = kill(pid, Signal::KILL);
         }
     }
     let deadline = Instant::now() + Duration::from_secs(30);
     while processes.are_running() {
-        assert!(Instant::now() < deadline, "{processes:?} live on");
+        assert!(Instant::now() < deadline, "{processes:?} still running");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
