--- a/crates/scale/src/counting_proxy/mod.rs
+++ b/crates/scale/src/counting_proxy/mod.rs
@@ -1,5 +1,5 @@
-//! A proxy in front of each node, which counts the datagrams and streams of other nodes by sender. So the metrics do not
-//! depend on counters of the measured program itself.
+//! A proxy in front of each node, which counts the datagrams and streams of other nodes by sender, so that the results
+//! do not depend on counters of the measured program.
 //!
 //! There is one proxy per node, whereas fault injection has one per link: the number of sockets must not grow with the
 //! square of the number of nodes.
--- a/crates/scale/src/regression.rs
+++ b/crates/scale/src/regression.rs
@@ -40,8 +40,8 @@
     pub residual: f64,
 }
 
-/// `size * (base + slope * size)` by least squares of the value per node. That value grows with the size, for example if
-/// every node receives messages about every other node.
+/// `size * (base + slope * size)` by least squares of the value per node. That value grows with the size, for example
+/// if every node receives messages about every other node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuadraticFit {
     /// Value per node at size 0.
