--- a/crates/scale/src/hollow_host/budget_consumer.rs
+++ b/crates/scale/src/hollow_host/budget_consumer.rs
@@ -15,7 +15,7 @@
 pub(super) const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between reports if nothing has changed.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Demand varies around its mean by up to half: this is the minimum factor, and the maximum is 1 more.
+/// Demand varies around its mean by up to half.
 const MIN_DEMAND_FACTOR: f64 = 0.5;
 
 /// Usage of the budget.
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Writes a report if it contains uses or a new state, or if the last report is older than the interval.
+    /// Writes a report if it contains uses or a new state, or if the last one is older than the interval.
     fn write_report(&mut self, now: Instant, report: NodeReport) {
         let is_redundant = self.last_written.as_ref().is_some_and(|written| {
             report.use_count == 0
--- a/crates/scale/src/outcome.rs
+++ b/crates/scale/src/outcome.rs
@@ -28,9 +28,9 @@
     pub messages_per_s_max: f64,
     /// Messages sent per second: mean over all nodes and seconds.
     pub messages_per_s_mean: f64,
-    /// CPU time as a fraction of a core over the measurement: the busiest node.
+    /// CPU usage as a fraction of a core: mean of the busiest node.
     pub cpu_share_max: f64,
-    /// CPU time as a fraction of a core over the measurement: mean over all nodes.
+    /// CPU usage as a fraction of a core: mean over all nodes.
     pub cpu_share_mean: f64,
     /// Resident memory of the largest node; for a hollow node, that of its process divided by the process's nodes.
     pub rss_mb_max: f64,
@@ -249,7 +249,7 @@
     /// Number of datagrams that the proxies dropped, and of delays that they added to stream chunks.
     #[serde(rename = "lost")]
     pub lost_count: u64,
-    /// Number of datagrams of unknown senders, streams that can't be decoded, and connections that can't be opened.
+    /// Datagrams of unknown senders, undecodable directions of streams, and streams that could not be opened.
     #[serde(rename = "unknown")]
     pub unknown_count: u64,
 }
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -63,7 +63,7 @@
     reason: String,
 }
 
-/// An error of the drawing library as text: the library has an error type for each of its modules.
+/// An error of the drawing library as text, since the library has many error types.
 struct DrawFailure(String);
 
 impl DrawFailure {
--- a/crates/scale/src/progress.rs
+++ b/crates/scale/src/progress.rs
@@ -18,7 +18,7 @@
 pub enum Goal {
     /// Nodes know this limit of the budget.
     BudgetLimit(u32),
-    /// Nodes report the watched node as failed.
+    /// Nodes do not report the watched node as live.
     FailureKnown,
 }
 
--- a/crates/scale/src/run/cluster.rs
+++ b/crates/scale/src/run/cluster.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Polls the state of the real nodes. Hollow nodes report their state without a request.
+    /// Polls the state of the real nodes; hollow nodes report it unasked.
     pub(super) fn poll_real_nodes(&self) {
         let running = self.real_nodes.iter().enumerate();
         for (node, process) in running.filter(|(_, process)| process.is_running()) {
--- a/crates/scale/src/run/host_process.rs
+++ b/crates/scale/src/run/host_process.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Records a process's reports until its output ends. The end of output fails the run: the process exited.
+/// Records a process's reports until its output ends, which fails the run.
 fn read_reports(output: ChildStdout, host: &str, progress: &SharedProgress) {
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         match serde_json::from_str::<NodeReport>(&line) {
--- a/crates/scale/src/topology.rs
+++ b/crates/scale/src/topology.rs
@@ -17,7 +17,7 @@
 const ZONE_COUNT: usize = 3;
 /// Number of seeds: the first nodes.
 pub const SEED_COUNT: usize = 3;
-/// Greater than any number of nodes, so that runs with different seeds use different node seeds.
+/// Greater than the number of nodes, so that the node seeds of different runs differ.
 const NODE_SEED_MULTIPLIER: u64 = 1_000_003;
 
 /// All nodes of a run, by number: the real nodes come first, also in the order of names.
--- a/crates/scale/tests/runs.rs
+++ b/crates/scale/tests/runs.rs
@@ -12,9 +12,9 @@
     PathBuf::from(env!("CARGO_BIN_EXE_lupincrank-scale")).with_file_name("lupincrank")
 }
 
-fn scale(more: &[&str]) -> Output {
+fn scale(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_lupincrank-scale"))
-        .args(more)
+        .args(arguments)
         .output()
         .unwrap()
 }
@@ -29,8 +29,8 @@
 #[case::loss_too_high(&["--nodes", "10", "--loss", "1"], "--loss: 1 is not in 0 to 0.9")]
 #[case::too_few_descriptors(&["--nodes", "1000"], "--nodes: 1000 nodes, 1000 of them in the operator's file, need 1003100 file descriptors")]
 #[case::program_missing(&["--nodes", "10", "--program", "/nowhere"], "--program: \"/nowhere\" is not a file")]
-fn the_error_for_an_invalid_option_names_it(#[case] more: &[&str], #[case] message: &str) {
-    let output = scale(&[&["run"], more].concat());
+fn the_error_for_an_invalid_option_names_it(#[case] arguments: &[&str], #[case] message: &str) {
+    let output = scale(&[&["run"], arguments].concat());
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         output.status.code() == Some(2) && stderr.contains(message),
