--- a/crates/simulator/src/population.rs
+++ b/crates/simulator/src/population.rs
@@ -64,7 +64,9 @@
         });
         let group_size = scenario.clients.group_size;
         let group_count = if group_size > 0.0 {
-            (scenario.standing() / group_size).ceil().max(1.0)
+            (scenario.mean_connection_count() / group_size)
+                .ceil()
+                .max(1.0)
         } else {
             0.0
         };
--- a/crates/simulator/src/world/observations.rs
+++ b/crates/simulator/src/world/observations.rs
@@ -2,7 +2,7 @@
 
 use super::{Phase, World};
 use crate::event_queue::{Incarnation, SimTime, SimulationEvent, SECOND};
-use crate::scenario::Delays;
+use crate::scenario::DelayVisibility;
 use crate::server_model::ServerState;
 use lupincrank_placement::{Event, RequestId};
 use std::time::Duration;
@@ -33,7 +33,8 @@
             recent.pop_front();
         }
         recent.push_back(duration);
-        if self.scenario.nodes.delays != Delays::Sockets || durations.len() < MIN_REMEMBERED_SETUPS
+        if self.scenario.nodes.delays != DelayVisibility::Sockets
+            || durations.len() < MIN_REMEMBERED_SETUPS
         {
             return;
         }
@@ -48,7 +49,7 @@
     /// Reports message delays once a second: for each server with late messages, on one connection per node, and once
     /// more when its messages are in time again.
     pub(super) fn report_message_delays(&mut self) {
-        if self.scenario.nodes.delays != Delays::All {
+        if self.scenario.nodes.delays != DelayVisibility::All {
             return;
         }
         let min_objective = self
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -136,7 +136,7 @@
     assert!(
         errors
             .iter()
-            .any(|error| error.place == place && error.what.contains(what)),
+            .any(|error| error.location == place && error.message.contains(what)),
         "{errors:?}"
     );
 }
@@ -179,7 +179,7 @@
     let others = [PolicyName::TwoChoices];
     let worst = search::find_worst(&small(), 5, 8, &others, || ()).expect("a scenario");
     let (before, gap) = (worst.scenario.faults.len(), worst.gap);
-    let shrunk = search::shrink(worst, &others);
+    let shrunk = search::simplify(worst, &others);
     assert!(
         shrunk.scenario.faults.len() <= before && shrunk.gap >= gap * 0.8,
         "{shrunk:?}"
