--- a/crates/fault-injection/src/checker/absence.rs
+++ b/crates/fault-injection/src/checker/absence.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// An absence excuses violations up to this long before and after it, because the kernel and this process observe its
-/// start and end at different times.
+/// Violations up to this long before or after an absence are attributed to it, because the kernel and this process
+/// observe its start and end at different times.
 const ABSENCE_SLACK: Duration = Duration::from_millis(400);
 
 /// One absence; it is ongoing if it has no end.
--- a/crates/fault-injection/src/checker/budget.rs
+++ b/crates/fault-injection/src/checker/budget.rs
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Returns the first of the highest sums above the limit.
+    /// Returns the highest sum above its limit; of equal sums, the first.
     pub(super) fn worst_overrun(&self, initial_limit: u32) -> Option<Overrun> {
         let mut worst: Option<Overrun> = None;
         for (at, sum) in self.sums_at_uses() {
--- a/crates/fault-injection/src/checker/mod.rs
+++ b/crates/fault-injection/src/checker/mod.rs
@@ -25,7 +25,7 @@
 /// A node may open new connections to a draining server for this long after discovery announced the drain to it: the
 /// grace of the settings, 50 ms that the protocol adds, and 50 ms for the transmission.
 const DRAIN_GRACE: Duration = Duration::from_millis(500 + 100);
-/// A link fault excuses violations on that link until this long after the fault.
+/// Violations on a link are attributed to a fault of the link until this long after the fault.
 const LINK_FAULT_GRACE: Duration = Duration::from_secs(10);
 /// Longest setup time that the histogram resolves, in microseconds; longer ones are recorded as this.
 const MAX_SETUP_US: u64 = 60_000_000;
@@ -42,7 +42,7 @@
     start: Instant,
     violations: Vec<Violation>,
     requests: BTreeMap<u64, RequestRecord>,
-    /// The server of each attempt in flight, by the request's id.
+    /// The server of each attempt in flight, by request ID.
     attempts_in_flight: BTreeMap<u64, usize>,
     /// When discovery first announced to each node that a server accepts no new connections.
     draining_since: BTreeMap<NodeServerPair, Instant>,
--- a/crates/fault-injection/src/cli.rs
+++ b/crates/fault-injection/src/cli.rs
@@ -61,7 +61,7 @@
     List { folder: String },
     /// Check a scenario, and optionally print its plan.
     Check {
-        prints_plan: bool,
+        should_print_plan: bool,
         seed: u64,
         file: String,
     },
@@ -106,7 +106,7 @@
         .parse(|text| text.parse::<NodeProgram>())
         .many();
     let is_verbose = long("verbose")
-        .help("Make nodes log single requests")
+        .help("Make nodes log individual requests")
         .switch();
     let file = scenario_file();
     construct!(RunArguments {
@@ -141,7 +141,7 @@
     })
     .to_options()
     .descr(
-        "Run random timelines of faults, and reduce the most harmful one to the faults that matter",
+        "Run random timelines of faults, and reduce the most harmful one to the faults that violate a rule",
     )
     .command("hunt")
 }
@@ -157,13 +157,13 @@
 }
 
 fn check_command() -> impl Parser<Command> {
-    let prints_plan = long("plan")
+    let should_print_plan = long("plan")
         .help("Print the plan that is drawn from the seed")
         .switch();
     let seed = seed();
     let file = scenario_file();
     construct!(Command::Check {
-        prints_plan,
+        should_print_plan,
         seed,
         file
     })
@@ -204,5 +204,5 @@
     let rule_breaker = rule_breaker_command();
     construct!([run, search, list, check, report, rule_breaker])
         .to_options()
-        .descr("lupincrank-fault-injection: real processes of lupincrank with faults between them")
+        .descr("lupincrank-fault-injection: run real lupincrank processes with injected faults")
 }
--- a/crates/fault-injection/src/client_sessions.rs
+++ b/crates/fault-injection/src/client_sessions.rs
@@ -104,7 +104,8 @@
     }
 }
 
-/// The draw that chooses the node: the plan's draw for a session's first request, others for later requests.
+/// Returns the number that chooses the node: the plan's draw for a session's first request, and numbers derived from it
+/// for later requests.
 fn node_draw(context: &HarnessContext, session: &ClientSession) -> u64 {
     let planned = context.plan.sessions.get(session.number as usize - 1);
     planned
--- a/crates/fault-injection/src/cluster_setup.rs
+++ b/crates/fault-injection/src/cluster_setup.rs
@@ -26,20 +26,21 @@
         folder: context.options.folder.join(format!("n{node}")),
     };
     context.application.nodes.push(NodeProcess::new(identity));
-    let discovery_address = open_discovery(context, node)?;
+    let discovery_address = open_discovery_link(context, node)?;
     open_server_links(context, node)?;
     if context.scenario.is_clustered {
         open_peer_links(context, node)?;
     }
     let update = context.endpoint_list.update_for(node, ListScope::Snapshot);
-    let known = serde_json::from_str(update.json())?;
-    let config = node_config::node_config(&context.application, node, discovery_address, &known);
+    let initial_list = serde_json::from_str(update.json())?;
+    let config =
+        node_config::node_config(&context.application, node, discovery_address, &initial_list);
     context.node_configs.insert(node, config);
     Ok(node)
 }
 
 /// Opens a node's link to discovery.
-fn open_discovery(context: &mut HarnessContext, node: usize) -> io::Result<SocketAddr> {
+fn open_discovery_link(context: &mut HarnessContext, node: usize) -> io::Result<SocketAddr> {
     let address = discovery::listen(context, node)?;
     let direction = LinkDirection::new(Party::Node(node), Party::Discovery);
     stream_proxy::open(context, direction, address)
--- a/crates/fault-injection/src/fault_injector/server_faults.rs
+++ b/crates/fault-injection/src/fault_injector/server_faults.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Changes a server's mode, and notifies its proxies and the checker.
+/// Changes a server's mode, notifies its proxies, and reports its links to the checker as faulty.
 fn set_mode(context: &mut HarnessContext, server: usize, mode: ServerMode) {
     upstream_server::set_mode(context, server, mode);
     let listeners = context.network.listeners.iter();
--- a/crates/fault-injection/src/harness/mod.rs
+++ b/crates/fault-injection/src/harness/mod.rs
@@ -114,7 +114,7 @@
     pub(crate) node_configs: BTreeMap<usize, serde_json::Value>,
     /// The addresses at which each node reaches its peers, by the numbers of node and peer.
     pub(crate) peer_addresses: BTreeMap<usize, BTreeMap<usize, SocketAddr>>,
-    /// The ids of all clusters that nodes have reported.
+    /// The IDs of all clusters that nodes have reported.
     pub(crate) cluster_ids: BTreeSet<String>,
     pub(crate) checker: Checker,
     pub(crate) rng: Pcg64Mcg,
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/link.rs
@@ -37,7 +37,7 @@
 }
 
 impl LinkDirection {
-    /// The direction between these parties.
+    /// Creates the direction from one party to another.
     pub fn new(from: Party, to: Party) -> LinkDirection {
         LinkDirection { from, to }
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns true if no connection can be established, because either direction is cut.
+    /// Returns true if either direction is cut, so that no connection can be established.
     pub(crate) fn is_cut(&self, direction: LinkDirection) -> bool {
         self.condition(direction).is_cut || self.condition(direction.reversed()).is_cut
     }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -74,18 +74,18 @@
     }
 }
 
-/// The state that commands which run scenarios share.
-struct Session {
+/// The state shared by the commands that run scenarios.
+struct CommandContext {
     stop: Arc<AtomicBool>,
     /// Drawn only if standard error is a terminal.
     progress_bar: ProgressBar,
 }
 
-impl Session {
-    fn new() -> Result<Session, CommandError> {
+impl CommandContext {
+    fn new() -> Result<CommandContext, CommandError> {
         let progress_bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
         progress_bar.set_style(ProgressStyle::with_template("{spinner} {msg}")?);
-        Ok(Session {
+        Ok(CommandContext {
             stop: Arc::new(AtomicBool::new(false)),
             progress_bar,
         })
@@ -165,14 +165,14 @@
 }
 
 fn run_scenario(
-    session: &Session,
+    context: &CommandContext,
     arguments: &RunArguments,
 ) -> Result<CommandResult, CommandError> {
     let scenario = Scenario::load(&arguments.file)?;
-    let options = session.run_options(arguments, &node_program(arguments)?);
+    let options = context.run_options(arguments, &node_program(arguments)?);
     let name = scenario_name(&arguments.file);
     let outcome = run(&name, scenario, arguments.seed, options)?;
-    session.progress_bar.finish_and_clear();
+    context.progress_bar.finish_and_clear();
     write_json(arguments.json.as_deref(), &outcome)?;
     print!("{}", outcome_text(&outcome)?);
     Ok(CommandResult::new(outcome.has_passed()))
@@ -189,7 +189,7 @@
 }
 
 fn search(
-    session: &Session,
+    context: &CommandContext,
     run_count: usize,
     arguments: &RunArguments,
 ) -> Result<CommandResult, CommandError> {
@@ -203,14 +203,14 @@
         run_count,
     };
     let result = search.run(
-        || session.run_options(arguments, &program),
+        || context.run_options(arguments, &program),
         |number, outcome| {
-            session
+            context
                 .progress_bar
                 .suspend(|| print_searched_run(number, outcome));
         },
     )?;
-    session.progress_bar.finish_and_clear();
+    context.progress_bar.finish_and_clear();
     write_json(arguments.json.as_deref(), &result)?;
     println!(
         "{} trials, {} with a broken rule",
@@ -242,10 +242,14 @@
     Ok(CommandResult::Passed)
 }
 
-fn check_scenario(file: &str, seed: u64, prints_plan: bool) -> Result<CommandResult, CommandError> {
+fn check_scenario(
+    file: &str,
+    seed: u64,
+    should_print_plan: bool,
+) -> Result<CommandResult, CommandError> {
     let scenario = Scenario::load(file)?;
     let plan = Plan::draw(&scenario, seed);
-    if prints_plan {
+    if should_print_plan {
         println!("{}", serde_json::to_string_pretty(&plan)?);
     } else {
         println!(
@@ -287,22 +291,22 @@
 }
 
 fn execute(command: Command) -> Result<CommandResult, CommandError> {
-    let session = Session::new()?;
+    let context = CommandContext::new()?;
     if !matches!(command, Command::RuleBreaker { .. }) {
-        session.stop_on_signals()?;
+        context.stop_on_signals()?;
     }
     match command {
-        Command::Run(arguments) => run_scenario(&session, &arguments),
+        Command::Run(arguments) => run_scenario(&context, &arguments),
         Command::Search {
             run_count,
             arguments,
-        } => search(&session, run_count, &arguments),
+        } => search(&context, run_count, &arguments),
         Command::List { folder } => list_scenarios(&folder),
         Command::Check {
-            prints_plan,
+            should_print_plan,
             seed,
             file,
-        } => check_scenario(&file, seed, prints_plan),
+        } => check_scenario(&file, seed, should_print_plan),
         Command::Report { svg, file } => report_outcome(&file, svg.as_deref()),
         Command::RuleBreaker { config, kind, verb } => serve_rule_breaker(kind, &config, verb),
     }
--- a/crates/fault-injection/src/node_call.rs
+++ b/crates/fault-injection/src/node_call.rs
@@ -91,10 +91,10 @@
         is_sent: false,
         request,
     };
-    let timeout = Instant::now() + CALL_TIMEOUT;
+    let deadline = Instant::now() + CALL_TIMEOUT;
     context
         .deadlines
-        .set(id, DeadlineKind::CallTimeout, timeout);
+        .set(id, DeadlineKind::CallTimeout, deadline);
     context.register(id, Box::new(call));
 }
 
@@ -133,8 +133,8 @@
         context.application.nodes[self.node].set_status(status);
     }
 
-    fn advance(&mut self, readable: bool) -> CallProgress {
-        if self.send_once().is_err() || (readable && self.lines.read().is_err()) {
+    fn advance(&mut self, is_readable: bool) -> CallProgress {
+        if self.send_once().is_err() || (is_readable && self.lines.read().is_err()) {
             return CallProgress::Failed;
         }
         match self.lines.next_line() {
--- a/crates/fault-injection/src/node_config.rs
+++ b/crates/fault-injection/src/node_config.rs
@@ -49,12 +49,12 @@
     })
 }
 
-/// Returns the configuration of one node; `known` is its initial endpoint list.
+/// Returns the configuration of one node, with its initial endpoint list.
 pub(crate) fn node_config(
     harness: &Harness,
     node: usize,
     discovery: SocketAddr,
-    known: &Value,
+    initial_list: &Value,
 ) -> Value {
     let process = &harness.nodes[node];
     let run_seed = harness.plan.seed.wrapping_mul(NODE_SEED_MULTIPLIER);
@@ -65,7 +65,7 @@
         "management": process.admin_address().to_string(),
         "seed": format!("{:x}", run_seed.wrapping_add(node as u64)),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-        "known": known,
+        "known": initial_list,
         "settings": settings(harness),
     })
 }
--- a/crates/fault-injection/src/rule_breaker/client_relay.rs
+++ b/crates/fault-injection/src/rule_breaker/client_relay.rs
@@ -189,7 +189,7 @@
         Lifecycle::Close
     }
 
-    /// Sends the first line to the servers, when a connection to them is established.
+    /// Sends the first line to all servers, once the connection to one of them is established.
     fn send_first_line(&mut self) -> io::Result<()> {
         for server in &mut self.servers {
             server.set_interest(Interest::READ)?;
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -23,7 +23,7 @@
     pub node_programs: BTreeMap<usize, Vec<String>>,
     /// The folder for the logs of all nodes.
     pub log_folder: Option<PathBuf>,
-    /// Whether nodes log single requests.
+    /// Whether nodes log individual requests.
     pub is_verbose: bool,
     /// Ends the run early once it is set.
     pub stop: Arc<AtomicBool>,
--- a/crates/fault-injection/src/run_loop.rs
+++ b/crates/fault-injection/src/run_loop.rs
@@ -123,13 +123,14 @@
 fn finish_if_settled(context: &mut HarnessContext, now: Instant) {
     let settling_since = *context.settling_since.get_or_insert(now);
     let settling_for = now.duration_since(settling_since);
-    let awaits_answers = settling_for < context.client_behaviour.answer_timeout + REQUEST_GRACE;
-    if awaits_answers || !context.pending_steps.is_empty() {
+    let is_awaiting_answers =
+        settling_for < context.client_behaviour.answer_timeout + REQUEST_GRACE;
+    if is_awaiting_answers || !context.pending_steps.is_empty() {
         return;
     }
     let expectations = &context.scenario.expectations;
     let convergence = context.check_convergence(ConvergenceGoal {
-        needs_agreement: expectations.one_leader_at_end,
+        needs_agreement: expectations.needs_agreement,
         min_leased_ratio: expectations.min_leased_ratio,
     });
     match convergence {
--- a/crates/fault-injection/src/scenario/fault.rs
+++ b/crates/fault-injection/src/scenario/fault.rs
@@ -53,16 +53,16 @@
 /// The kind of a fault, serialized under its name in scenario files.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub enum FaultKind {
-    /// SIGKILL to nodes; after its duration, if it has one, they are restarted with an empty temporary folder.
+    /// SIGKILL to nodes; after the fault's duration, if it has one, they are restarted with an empty temporary folder.
     #[serde(rename = "kill")]
     Kill,
-    /// SIGSTOP, and SIGCONT after its duration.
+    /// SIGSTOP, and SIGCONT after the fault's duration.
     #[serde(rename = "freeze")]
     Freeze,
-    /// SIGTERM; after its duration, if it has one, the nodes are restarted.
+    /// SIGTERM; after the fault's duration, if it has one, the nodes are restarted.
     #[serde(rename = "term")]
     Terminate,
-    /// SIGKILL and a restart at once, `count` times, its duration apart.
+    /// SIGKILL and an immediate restart, `count` times, at intervals of the fault's duration.
     #[serde(rename = "loop")]
     RestartLoop,
     /// A node joins that the other nodes' configurations don't contain.
@@ -71,8 +71,8 @@
     /// Another process starts under the name of a running node, at an address of its own.
     #[serde(rename = "twin")]
     DuplicateName,
-    /// Processes of another cluster replace killed nodes at their addresses; after its duration, if it has one, the
-    /// nodes are restarted.
+    /// Processes of another cluster replace killed nodes at their addresses; after the fault's duration, if it has one,
+    /// the nodes are restarted.
     #[serde(rename = "foreign")]
     ForeignCluster,
     /// Links carry no traffic.
@@ -105,7 +105,7 @@
     /// Servers drain, and stop after the fault's duration.
     #[serde(rename = "drain")]
     DrainServers,
-    /// Servers stop; after its duration, if it has one, they are restarted and warm up.
+    /// Servers stop; after the fault's duration, if it has one, they are restarted and warm up.
     #[serde(rename = "die")]
     StopServers,
     /// Servers are unresponsive for the fault's duration.
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -166,7 +166,7 @@
     pub(crate) min_service_ratio: f64,
     /// Whether all running nodes must report the same leader and count each other as members at the end.
     #[serde(rename = "council")]
-    pub(crate) one_leader_at_end: bool,
+    pub(crate) needs_agreement: bool,
     /// Minimum fraction of the budget that must be leased at the end.
     #[serde(rename = "taken")]
     pub(crate) min_leased_ratio: f64,
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -28,12 +28,12 @@
 fn an_invalid_file_is_reported_with_line_and_reason(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] why: &str,
+    #[case] expected_error: &str,
 ) {
     match Scenario::parse(&GOOD.replacen(from, to, 1)) {
-        Ok(_) => assert_eq!(why, ""),
+        Ok(_) => assert_eq!(expected_error, ""),
         Err(error) => assert!(
-            !why.is_empty() && error.to_string().starts_with(why),
+            !expected_error.is_empty() && error.to_string().starts_with(expected_error),
             "{error}"
         ),
     }
--- a/crates/fault-injection/src/search.rs
+++ b/crates/fault-injection/src/search.rs
@@ -1,4 +1,4 @@
-//! Searches for severe fault timelines: generates random faults, selects the timeline with the most severe outcome, and
+//! Searches for harmful fault timelines: generates random timelines, selects the one with the most severe outcome, and
 //! removes the faults that its violations do not need.
 
 use crate::error::RunError;
@@ -55,7 +55,7 @@
     /// Number of runs with a violation.
     #[serde(rename = "broken")]
     pub failed_count: usize,
-    /// The most severe run, reduced by the faults that are not needed for a violation.
+    /// The run with the most severe outcome, repeated without the faults that a violation does not need.
     pub worst: Option<Outcome>,
     /// All runs.
     #[serde(rename = "trials")]
@@ -183,7 +183,8 @@
     }
 }
 
-/// Adds faults to a scenario. The scenario's own faults stay: they start the servers that the budget is for.
+/// Adds faults to a scenario. The scenario's own faults stay, because they start the servers that warm up, and the
+/// budget limits connections to such servers.
 fn with_faults(scenario: &Scenario, faults: &[Fault]) -> Scenario {
     let drawn = faults.iter().map(|fault| Spanned::new(0..0, fault.clone()));
     let mut scenario = scenario.clone();
@@ -192,7 +193,8 @@
 }
 
 impl Search<'_> {
-    /// Executes the runs, then reduces the most severe one. `on_outcome` receives the number and outcome of each run.
+    /// Executes the runs, then reduces the one with the most severe outcome. `on_outcome` receives the number and outcome
+    /// of each run.
     ///
     /// # Errors
     ///
--- a/crates/fault-injection/src/stream_proxy/listener.rs
+++ b/crates/fault-injection/src/stream_proxy/listener.rs
@@ -28,7 +28,7 @@
     direction: LinkDirection,
     target: SocketAddr,
     address: SocketAddr,
-    /// None while the target is stopped.
+    /// `None` while the target is stopped and the link is not cut.
     listener: Option<Registered<TcpListener>>,
     /// Keeps the address bound while the listener is closed.
     reserved_socket: Option<Socket>,
--- a/crates/fault-injection/src/stream_relay.rs
+++ b/crates/fault-injection/src/stream_relay.rs
@@ -137,7 +137,7 @@
     }
 
     /// Writes the bytes that are due, and shuts the target down after the last byte of a closed source. Returns the due
-    /// time of the next bytes, if any.
+    /// time of the next bytes if they are not due yet.
     ///
     /// # Errors
     ///
--- a/crates/fault-injection/tests/rule_breakers.rs
+++ b/crates/fault-injection/tests/rule_breakers.rs
@@ -23,28 +23,28 @@
     }
 }
 
-fn outcome(kind: &str, more: &str) -> Outcome {
+fn outcome(kind: &str, faults: &str) -> Outcome {
     let text = format!(
         "about = \"a wrongdoer\"\nnodes = 1\ntranscribers = 3\nseconds = 5.0\ntalk = false\n\
-         [clients]\nrate = 20.0\nstand_s = 3.0\n[bears]\nheld = 10.0\ncold_s = 20.0\n[cold]\nwhole = 10\n{more}"
+         [clients]\nrate = 20.0\nstand_s = 3.0\n[bears]\nheld = 10.0\ncold_s = 20.0\n[cold]\nwhole = 10\n{faults}"
     );
     run(kind, Scenario::parse(&text).unwrap(), 7, options(kind)).unwrap()
 }
 
 const DRAIN: &str = "[[fault]]\nat_s = 0.5\nkind = \"drain\"\non = \"t1\"\nfor_s = 7.0\n";
-const RELEASE: &str = "[[fault]]\nat_s = 0.3\nkind = \"release\"\ntimes = 1\n";
+const ADD_SERVER: &str = "[[fault]]\nat_s = 0.3\nkind = \"release\"\ntimes = 1\n";
 
 #[rstest]
 #[case::second_answer("answers-twice", "", "one-answer")]
 #[case::no_answer("silent", "", "one-answer")]
 #[case::two_attempts("two-at-once", "", "one-attempt")]
 #[case::attempts_at_a_draining_server("past-grace", DRAIN, "drain-grace")]
-#[case::overload_of_a_server_that_is_warming_up("cold-crowd", RELEASE, "cold-fell")]
-#[case::budget_exceeded("cold-crowd", RELEASE, "budget")]
+#[case::overload_of_a_server_that_is_warming_up("cold-crowd", ADD_SERVER, "cold-fell")]
+#[case::budget_exceeded("cold-crowd", ADD_SERVER, "budget")]
 #[case::unexpected_close("cuts", "", "cut-off")]
 #[case::unexpected_exit("crashes", "", "crash")]
-fn each_rule_breaker_is_detected(#[case] kind: &str, #[case] more: &str, #[case] rule: &str) {
-    let outcome = outcome(kind, more);
+fn each_rule_breaker_is_detected(#[case] kind: &str, #[case] faults: &str, #[case] rule: &str) {
+    let outcome = outcome(kind, faults);
     let violated: Vec<String> = outcome
         .verdict
         .violations
--- a/crates/syscall-faults/src/handler.rs
+++ b/crates/syscall-faults/src/handler.rs
@@ -68,8 +68,8 @@
     (mixed ^ (mixed >> 31)) % bound.max(1)
 }
 
-/// Returns true if a rule may fail this call. Calls that create nothing never fail: opening an existing file, and
-/// changing or removing a registration.
+/// Returns true if a rule may fail this call. Calls of `openat` and `epoll_ctl` that create nothing never fail: opening
+/// an existing file, and changing or removing a registration.
 fn can_fail(number: i64, arguments: &Arguments) -> bool {
     match number {
         libc::SYS_openat => arguments[OPEN_FLAGS_ARGUMENT] & i64::from(libc::O_CREAT) != 0,
@@ -91,7 +91,7 @@
         .find(|rule| rule.calls.contains(&number) && random_below(100) < u64::from(rule.percent))
 }
 
-/// Executes the call with the fault of its rule, if any; the result is in the kernel's convention.
+/// Executes the call with the fault of its rule, if any. Returns the kernel's result, or a negated error number.
 fn perform(number: i64, mut arguments: Arguments) -> i64 {
     let fault = draw_rule(number, &arguments).map(|rule| rule.fault);
     match fault {
--- a/crates/tidy/src/imports.rs
+++ b/crates/tidy/src/imports.rs
@@ -6,7 +6,7 @@
 use regex::Regex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The uses among the files of a crate, by the indexes of the files in the list of files.
+/// The imports between the files of a crate; a file is identified by its index in the list of files.
 #[derive(Debug, Default)]
 pub struct ImportGraph {
     edges: BTreeMap<usize, BTreeSet<usize>>,
--- a/crates/tidy/src/policy.rs
+++ b/crates/tidy/src/policy.rs
@@ -38,7 +38,7 @@
 ///
 /// # Panics
 /// If a file can't be read: a check of the repository fails by panicking.
-pub fn modules_that_decide() -> BTreeSet<PathBuf> {
+pub fn deciding_modules() -> BTreeSet<PathBuf> {
     let decision = Regex::new(DECISION_PATTERN).expect("valid regular expression");
     let root = workspace_root();
     source_files(PLACEMENT_FOLDER)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy transcriber and a toy discovery, for trying the node by hand; see examples/README.md."""
+"""A minimal upstream server and a minimal discovery service for trying out the node; see examples/README.md."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 class Transcriber(socketserver.StreamRequestHandler):
-    """Answers OPEN with UP and every line after that with the same line; `bye` ends the connection."""
+    """An upstream server: answers OPEN with UP, and echoes each later line; `bye` closes the connection."""
 
     def handle(self):
         first = self.rfile.readline(4096)
@@ -29,7 +29,7 @@
 
 
 class Discovery(socketserver.StreamRequestHandler):
-    """Lets a watch stand: the group of config.json, whole, then an empty line every 2 s."""
+    """Discovery: answers a watch with the complete endpoint list of config.json, then sends an empty line every 2 s."""
 
     def handle(self):
         while self.rfile.readline(4096).strip():
--- a/examples/upgrade.py
+++ b/examples/upgrade.py
@@ -1,6 +1,6 @@
-"""Holds the clients' listening socket as the platform does and upgrades the node at each Enter.
+"""Holds the clients' listening socket, as the platform does, and upgrades the node each time Enter is pressed.
 
-Run it from the root of the repository, beside toy_server.py. End with Ctrl-D: the node gets SIGTERM.
+Run it from the root of the repository while toy_server.py is running. Ctrl-D ends it and sends SIGTERM to the node.
 """
 import json
 import os
@@ -16,7 +16,7 @@
 
 
 def ready(port):
-    """Whether the process at this management port says that it can serve."""
+    """Returns True if the process at this management port reports that it can serve."""
     run = subprocess.run([PROGRAM, "manage", f"127.0.0.1:{port}", "check"], capture_output=True)
     return run.returncode == 0
 
