--- a/crates/fault-injection/src/fault_injector/link_faults.rs
+++ b/crates/fault-injection/src/fault_injector/link_faults.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Returns the link directions that a fault affects. Links between two targets are affected only if the fault has a peer
-/// selector other than `all`.
+/// Returns the link directions that a fault affects. Links between two targets are affected only if the fault has a
+/// peer selector other than `all`.
 fn directions(
     context: &mut HarnessContext,
     fault: &Fault,
--- a/crates/fault-injection/src/search.rs
+++ b/crates/fault-injection/src/search.rs
@@ -193,8 +193,8 @@
 }
 
 impl Search<'_> {
-    /// Executes the runs, then reduces the one with the most severe outcome. `on_outcome` receives the number and outcome
-    /// of each run.
+    /// Executes the runs, then reduces the one with the most severe outcome. `on_outcome` receives the number and
+    /// outcome of each run.
     ///
     /// # Errors
     ///
