--- a/crates/budgets/src/demand.rs
+++ b/crates/budgets/src/demand.rs
@@ -12,7 +12,7 @@
 pub struct BudgetUsage {
     /// The most units used within any accounting window.
     pub peak: u32,
-    /// Whether something was rejected because the limit was reached.
+    /// Whether any request was rejected because the limit was reached.
     pub was_limited: bool,
 }
 
--- a/crates/cluster/src/connection.rs
+++ b/crates/cluster/src/connection.rs
@@ -110,7 +110,9 @@
     side: Side,
     is_connected: bool,
     decoder: FrameDecoder,
+    /// Encoded frames that the socket has not accepted completely.
     pending: Vec<u8>,
+    /// The number of bytes of `pending` that the socket has accepted.
     written: usize,
     last_received: Instant,
     last_sent: Instant,
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -295,7 +295,7 @@
         self.has_left = true;
     }
 
-    /// Leaves the cluster and notifies other members, so that they need not detect that it has ended.
+    /// Leaves the cluster and notifies other members, so that they need not detect that this node has ended.
     pub fn leave(&mut self, now: Duration) {
         self.runtime.now = now;
         self.runtime.begin_leaving();
--- a/crates/control/src/lease_granter.rs
+++ b/crates/control/src/lease_granter.rs
@@ -114,10 +114,10 @@
     let mut expired = log
         .grant_clocks()
         .expired_grants(context.now, context.terms);
-    let given_back = context
+    let released = context
         .tracker
         .leaving_for_at_least(context.now, context.terms.usage_expiry());
-    expired.extend(given_back.filter_map(|holder| {
+    expired.extend(released.filter_map(|holder| {
         let lease = log.state().leases.get(&holder)?;
         Some(GrantId {
             holder,
--- a/crates/control/src/member_tracker.rs
+++ b/crates/control/src/member_tracker.rs
@@ -10,7 +10,7 @@
 /// Tracks members that are unreachable or shutting down.
 #[derive(Default)]
 pub(crate) struct MemberTracker {
-    /// Members of the group that are not live, and the time since which they have not been. Only maintained by a
+    /// For each member of the group that is not live, the time since which it has not been live. Only maintained by a
     /// leader.
     unreachable_since: BTreeMap<MemberId, Timestamp>,
     departures: BTreeMap<MemberId, Departure>,
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -191,6 +191,7 @@
             .map_or(Liveness::Unreachable, |observation| observation.liveness)
     }
 
+    /// Returns true if the member is live and not leaving.
     fn is_reliable(&self, id: MemberId) -> bool {
         self.liveness(id) == Liveness::Live
     }
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -30,7 +30,7 @@
         .unwrap_or(24)
 }
 
-/// A node or a link fails.
+/// Faults of links, and of nodes without disks.
 fn any_fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         3 => (0..5usize, 0..5usize).prop_map(|(from, to)| Fault::CutLink(from, to)),
@@ -390,7 +390,8 @@
                     demand: u32::MAX,
                 }),
                 5 => ControlMessage::LeaseGranted { cluster_id, request_number: bytes.len() as u64, limit: u32::MAX },
-                // `Leaving` is not tested: only the member itself sends it, as with its usage.
+                // `Leaving` is not tested: the leader relies on a member's statement that it has stopped using its
+                // lease, as it relies on the usage that the member reports.
                 _ => ControlMessage::Removed(cluster_id),
             };
             let now = simulation.local_time(to);
--- a/crates/node/src/cluster_agent/agent.rs
+++ b/crates/node/src/cluster_agent/agent.rs
@@ -84,11 +84,12 @@
     pub(super) sockets: Option<ClusterSockets>,
     storage: Option<Storage>,
     pub(super) connections: PeerConnections,
+    /// The names and addresses of other live nodes, by incarnation.
     pub(super) addresses: BTreeMap<u64, PeerAddress>,
     pub(super) sent: SentTraffic,
     pub(super) log: Logger,
     rejections: Rejections,
-    /// A later process of this name has started.
+    /// Whether a later process of this name has started.
     is_replaced: bool,
     leaving_since: Option<Instant>,
     started_at: Instant,
@@ -232,8 +233,8 @@
         }
     }
 
-    /// All earlier promises (votes, acknowledged log entries) are stored. Without storage, this process makes no
-    /// further ones.
+    /// Stops participating in the control group. All earlier promises (votes, acknowledged log entries) are stored;
+    /// without storage, this process must not make further ones.
     fn on_storage_lost(&mut self, now: Timestamp, error: &StorageWriteError) {
         warn!(self.log, "control storage lost"; "error" => %error);
         self.storage = None;
--- a/crates/node/src/cluster_agent/config.rs
+++ b/crates/node/src/cluster_agent/config.rs
@@ -56,7 +56,7 @@
     pub slow_start_budget: Option<SlowStartBudget>,
 }
 
-/// The slow-start budget, in new connections to warming servers in any accounting window.
+/// The slow-start budget, in new connections to warming-up servers in any accounting window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartBudget {
     /// The capacity that leases distribute.
--- a/crates/node/src/cluster_agent/connections.rs
+++ b/crates/node/src/cluster_agent/connections.rs
@@ -21,7 +21,7 @@
 
 /// The connections to other nodes.
 pub(super) struct PeerConnections {
-    local: Handshake,
+    local_handshake: Handshake,
     open: BTreeMap<ComponentId, PeerConnection>,
     backoffs: BTreeMap<u64, ReconnectBackoff>,
     /// Closed connections whose components have not been notified.
@@ -33,13 +33,13 @@
 
 impl PeerConnections {
     pub(super) fn new(
-        local: Handshake,
+        local_handshake: Handshake,
         expected_node_count: usize,
         jitter: f64,
         log: Logger,
     ) -> PeerConnections {
         PeerConnections {
-            local,
+            local_handshake,
             open: BTreeMap::new(),
             backoffs: BTreeMap::new(),
             closed: Vec::new(),
@@ -80,7 +80,7 @@
         mut connection: ClusterConnection,
         dialed_incarnation: Option<u64>,
     ) -> Result<(), ConnectionError> {
-        connection.send(&Message::Handshake(self.local.clone()))?;
+        connection.send(&Message::Handshake(self.local_handshake.clone()))?;
         let peer = PeerConnection::new(connection, dialed_incarnation);
         self.open.insert(id, peer);
         Ok(())
@@ -123,7 +123,7 @@
         id: ComponentId,
         handshake: Handshake,
     ) -> Result<(), PeerError> {
-        if handshake.cluster_tag != self.local.cluster_tag {
+        if handshake.cluster_tag != self.local_handshake.cluster_tag {
             return Err(PeerError::ForeignCluster);
         }
         let Some(peer) = self.open.get(&id) else {
@@ -133,7 +133,7 @@
         let is_expected = peer
             .dialed_incarnation()
             .is_none_or(|dialed| dialed == incarnation);
-        if incarnation == self.local.incarnation || !is_expected {
+        if incarnation == self.local_handshake.incarnation || !is_expected {
             return Err(PeerError::UnexpectedIncarnation);
         }
         let is_initiator = peer.connection().is_initiator();
@@ -157,7 +157,7 @@
         let Some((duplicate_id, duplicate)) = duplicate else {
             return Ok(());
         };
-        let is_local_greater = self.local.incarnation > incarnation;
+        let is_local_greater = self.local_handshake.incarnation > incarnation;
         let duplicate_is_preferred = duplicate.connection().is_initiator() == is_local_greater;
         let new_is_preferred = is_initiator == is_local_greater;
         if duplicate_is_preferred && !new_is_preferred {
--- a/crates/node/src/cluster_agent/driver.rs
+++ b/crates/node/src/cluster_agent/driver.rs
@@ -48,12 +48,15 @@
         return;
     }
     let control = agent.control();
-    let usage = control.lease_limit(now);
+    let usage_limit = control.lease_limit(now);
     let fleet_share = control.fleet_share(now).unwrap_or(0.0);
     let floor = control.lease_floor(now);
-    context
-        .placement
-        .set_slow_start_lease(usage.limit, floor, fleet_share, usage.expires_at);
+    context.placement.set_slow_start_lease(
+        usage_limit.limit,
+        floor,
+        fleet_share,
+        usage_limit.expires_at,
+    );
 }
 
 /// Closes a connection that failed.
--- a/crates/node/src/cluster_agent/storage/writer.rs
+++ b/crates/node/src/cluster_agent/storage/writer.rs
@@ -46,7 +46,7 @@
 pub enum StorageEvent {
     /// All writes up to this sequence number are on disk.
     Completed(u64),
-    /// A write has failed. The whole state is written to a new file until that succeeds.
+    /// A write has failed. The thread writes the whole state to a new file instead, and retries until that succeeds.
     Failing(StorageWriteError),
 }
 
--- a/crates/placement/tests/common/waves.rs
+++ b/crates/placement/tests/common/waves.rs
@@ -62,7 +62,8 @@
     let progress = age.as_secs_f64() / warm_up_seconds;
     let initial_ratio = settings.initial_capacity_ratio;
     let capacity_ratio = initial_ratio + (1.0 - initial_ratio) * progress;
-    // The capacity is taken to be the rate that fills a server over its warm-up, as in the tests of steady demand.
+    // A warm server is assumed to accept requests at the rate that fills it within the duration of a warm-up, as in the
+    // tests of steady demand.
     let rate = capacity / warm_up_seconds * capacity_ratio;
     let allowed = settings.overload_factor * rate * settings.overload_window.as_secs_f64();
     if allowed < 30.0 {
@@ -72,7 +73,8 @@
     }
 }
 
-/// Returns the maximum load of a server in slow start in an overload window, as a fraction of its capacity.
+/// Returns the maximum load of a server in slow start: the requests sent to it in an overload window, as a fraction of
+/// [`max_requests`].
 pub fn max_load_ratio(
     settings: &Settings,
     capacity: f64,
--- a/crates/placement/tests/failures/fixtures.rs
+++ b/crates/placement/tests/failures/fixtures.rs
@@ -20,7 +20,8 @@
     });
 }
 
-/// Returns a harness with established connections, of each group in turn, after a period without events.
+/// Returns a harness with established connections, which are assigned to the groups in turn, after a period without
+/// events.
 pub fn with_established_connections(
     settings: Settings,
     servers: &[&str],
@@ -74,7 +75,7 @@
         .unwrap()
 }
 
-/// Settings with load reports, but with health checks too expensive to be sent: reports arrive without them.
+/// Settings with load reports. Health checks are too expensive to be sent, so reports arrive without them.
 pub fn reporting_settings() -> Settings {
     Settings {
         health_checks_allowed: true,
--- a/crates/placement/tests/failures/group_placement.rs
+++ b/crates/placement/tests/failures/group_placement.rs
@@ -52,7 +52,7 @@
     );
 }
 
-/// Guards against nine nodes, each with few connections on a server, that split every group.
+/// Guards against splitting every group over several servers if each of nine nodes has few connections on a server.
 #[test]
 fn a_node_with_a_small_part_of_the_traffic_keeps_groups_together() {
     let spread = |node_count| {
--- a/crates/placement/tests/failures/outlier_detection.rs
+++ b/crates/placement/tests/failures/outlier_detection.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::*;
 use lupincrank_placement::*;
 
-/// Guards against a storm of attempts on a store behind all servers that makes every server return errors.
+/// Guards against a storm of attempts that overloads a store behind all servers, so that every server returns errors.
 #[test]
 fn errors_at_every_server_narrow_the_setup_window_and_eject_none() {
     let mut harness = Harness::with_servers(idempotent_settings(), &SERVERS);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Guards against two servers that hang at once being taken for a fault behind all servers.
+/// Guards against mistaking two servers that hang at the same time for a fault behind all servers.
 #[test]
 fn two_silent_servers_of_six_are_both_ejected() {
     let mut harness = with_established_connections(idempotent_settings(), &SERVERS, 60, 20);
@@ -99,7 +99,7 @@
     );
 }
 
-/// Guards against the ejection of all servers: failures of every server are not taken as evidence against each.
+/// Guards against the ejection of all servers: if every server fails, the failures are not evidence against any one.
 #[test]
 fn with_every_server_silent_requests_are_still_sent() {
     let mut harness = Harness::with_servers(idempotent_settings(), &SERVERS);
--- a/crates/placement/tests/failures/overload.rs
+++ b/crates/placement/tests/failures/overload.rs
@@ -33,8 +33,8 @@
         harness.requests[id].final_answer_count == 1
     });
     assert!(rejected.count() >= 35);
-    // Without further overload, limits may be exceeded, first for groups that a server holds, and they rise, so that an
-    // old one does not refuse requests forever.
+    // Without further overload, a server's limit may be exceeded, first for groups that the server already has, and the
+    // limit rises over time. Otherwise an outdated limit would refuse requests forever.
     harness.advance_ms(6_000);
     receive(&mut harness, 3_000, "c:1");
     assert!(harness.server_of(3_000).is_some());
@@ -208,7 +208,8 @@
 }
 
 /// Guards against overload without reported delays, seen on real sockets: servers dropped one connection after another
-/// and kept the rest. If each one that the network breaks counted as overload, no server would have capacity left.
+/// and kept the rest. If every connection that the network breaks counted as overload, no server would have capacity
+/// left.
 #[test]
 fn a_server_that_drops_several_connections_at_once_sheds_others_but_not_after_single_losses() {
     let mut harness = with_established_connections(idempotent_settings(), &SERVERS, 60, 20);
--- a/crates/placement/tests/failures/setup_window.rs
+++ b/crates/placement/tests/failures/setup_window.rs
@@ -63,8 +63,8 @@
     );
 }
 
-/// Guards against overload of a slow store behind all servers, by 128 nodes with one attempt in progress each, which
-/// times out just before its connection would have been established.
+/// Guards against overload of a slow store behind all servers: 128 nodes have one attempt in progress each, and every
+/// attempt times out just before its connection would have been established.
 #[test]
 fn setups_that_fail_at_one_server_after_another_become_less_frequent() {
     let names: Vec<String> = (0..40).map(|n| format!("10.0.0.{n}:80")).collect();
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -206,7 +206,7 @@
     timer: Option<Timer>,
 }
 
-/// A fleet whose nodes start at once and call a discovery where each call fails after two seconds.
+/// A fleet whose nodes start at the same time and call discovery, where each call fails after two seconds.
 struct FailingDiscovery {
     nodes: Vec<Balancer>,
     steps: BTreeSet<Step>,
--- a/crates/placement/tests/slow_start.rs
+++ b/crates/placement/tests/slow_start.rs
@@ -199,8 +199,8 @@
             let window = *from..*from + OVERLOAD_WINDOW_MS * MS;
             let count = sent_at.iter().filter(|time| window.contains(time)).count() as f64;
             let capacity_ratio = 0.2 + 0.8 * ((from - START) / MS) as f64 / SLOW_START_MS;
-            // The capacity is taken to be the rate that fills the server over its warm-up, with a margin for random
-            // variation and a few saved attempts.
+            // A warm server is assumed to accept requests at the rate that fills it within the duration of a warm-up.
+            // The margin allows for random variation and a few accumulated attempts.
             (count - 4.0)
                 / (3.0 * capacity_ratio * WARM_CAPACITY / SLOW_START_MS * OVERLOAD_WINDOW_MS as f64)
         });
--- a/crates/reactor/src/event_loop.rs
+++ b/crates/reactor/src/event_loop.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Delivers messages and lets the application execute its decisions, until none of either are pending.
+    /// Delivers messages and lets the application execute its decisions, until neither are pending.
     fn deliver_messages(&mut self) {
         loop {
             for registration in self.context.new_components.drain(..) {
--- a/crates/reactor/src/poll.rs
+++ b/crates/reactor/src/poll.rs
@@ -168,8 +168,8 @@
 /// EINPROGRESS, which has no stable name in the standard library.
 const IN_PROGRESS: i32 = 115;
 
-/// The errors of a connect that fails locally, without resources or a network: EPERM, EAGAIN, ENOMEM, EACCES, ENFILE,
-/// EMFILE, ENOSPC (no more registrations), EADDRNOTAVAIL, ENETDOWN, ENETUNREACH and ENOBUFS.
+/// The errors of a connect that fails on this machine, for lack of resources or of a network: EPERM, EAGAIN, ENOMEM,
+/// EACCES, ENFILE, EMFILE, ENOSPC (no more registrations), EADDRNOTAVAIL, ENETDOWN, ENETUNREACH and ENOBUFS.
 const LOCAL_FAILURE_ERRNOS: [i32; 11] = [1, 11, 12, 13, 23, 24, 28, 99, 100, 101, 105];
 
 /// Returns true if a connect that failed at once did so for a local reason, which is no evidence against the peer.
