--- a/crates/node/tests/cluster_faults.rs
+++ b/crates/node/tests/cluster_faults.rs
@@ -9,7 +9,8 @@
 /// Within this time a restarted process is a member and a new leader is elected.
 const RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// A node that is killed and restarted with its wall clock an hour back or ahead is at once a member for all others.
+/// A node is killed and restarted, at once or after 4 s, with its wall clock an hour back or ahead: it must be a member
+/// for all others within `RECOVERY_TIME`.
 #[rstest]
 fn a_node_that_restarts_with_another_clock_is_a_member_at_once(
     #[values("clock=-3600", "clock=3600")] clock: &str,
@@ -54,8 +55,9 @@
     assert!(!log.contains("replaced by a later process"), "{log}");
 }
 
-/// The disks of three of five nodes fail for a while, and a node is killed meanwhile: the control group elects a leader
-/// once the disks recover, and everything stored before is still there after restarts.
+/// The disks of three of five nodes, possibly the leader's among them, fail for a while. Later the two nodes whose disks
+/// never failed are killed, so that the control group needs all three to elect a leader: none may have given up its vote
+/// until a restart, and everything stored before must still be there.
 #[rstest]
 fn a_transient_disk_failure_costs_no_member(
     #[values("pwrite=ENOSPC:100", "sync=EIO:100", "pwrite=EIO:50,sync=EIO:50")] plan: &str,
@@ -77,7 +79,7 @@
     cluster.wait_for_leader(&[0, 1, 2, 3]);
     cluster.spawn(4, None);
     cluster.wait_for_leader(&[0, 1, 2, 3, 4]);
-    // Kill the two nodes whose disks never failed: the other three have to continue alone.
+    // Kill the two nodes whose disks never failed: the other three are the smallest quorum.
     cluster.kill(3);
     cluster.kill(4);
     let before = cluster.applied_index(0);
--- a/crates/node/tests/common/cluster.rs
+++ b/crates/node/tests/common/cluster.rs
@@ -175,10 +175,10 @@
             let leader = self.leader(nodes[0])?;
             let number: usize = leader[1..].parse().unwrap();
             let is_running = self.nodes[number].process.is_some();
-            let agree = nodes
+            let is_agreed = nodes
                 .iter()
                 .all(|node| self.leader(*node).as_ref() == Some(&leader));
-            (is_running && agree).then_some(leader)
+            (is_running && is_agreed).then_some(leader)
         })
     }
 
--- a/crates/node/tests/common/discovery.rs
+++ b/crates/node/tests/common/discovery.rs
@@ -76,8 +76,8 @@
     }
 
     /// A list of the first servers, one for each of these health values.
-    pub fn endpoint_list(&self, health: &[&str], seq: u64, whole: bool) -> serde_json::Value {
-        endpoint_list_json(&self.server_addresses, health, seq, whole)
+    pub fn endpoint_list(&self, health: &[&str], seq: u64, is_complete: bool) -> serde_json::Value {
+        endpoint_list_json(&self.server_addresses, health, seq, is_complete)
     }
 
     /// Writes bytes on the watch in chunks of `chunk_size`, each sent before the next.
--- a/crates/node/tests/common/rig.rs
+++ b/crates/node/tests/common/rig.rs
@@ -314,7 +314,7 @@
             .count()
     }
 
-    /// Pauses the process. All events that arrive meanwhile are in one turn of its event loop after [`Rig::resume`].
+    /// Pauses the process. Its event loop handles all events that arrive meanwhile in one turn after [`Rig::resume`].
     pub fn pause(&self) {
         self.signal("-STOP");
         let path = format!("/proc/{}/stat", self.process.id());
--- a/crates/node/tests/connection_close.rs
+++ b/crates/node/tests/connection_close.rs
@@ -60,7 +60,7 @@
         AttemptEnd::Timeout,
         AttemptEnd::NodeKilled
     )]
-    how: AttemptEnd,
+    attempt_end: AttemptEnd,
 ) {
     let mut rig = Rig::start(1);
     rig.change_settings(|settings| {
@@ -69,14 +69,14 @@
     shrink_receive_buffers(&rig);
     let mut client = Some(send_long_request(
         &mut rig,
-        if how == AttemptEnd::Timeout {
+        if attempt_end == AttemptEnd::Timeout {
             700
         } else {
             20000
         },
     ));
     let mut server = accept_partly_delivered_attempt(&rig);
-    match how {
+    match attempt_end {
         AttemptEnd::ClientCloses => drop(client.take()),
         AttemptEnd::ClientResets => reset_connection(client.take().unwrap()),
         AttemptEnd::Timeout => assert!(client.as_mut().unwrap().receive().starts_with("BUSY")),
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -50,12 +50,12 @@
     let mut idle: Vec<Option<TcpStream>> = (0..count).map(|_| None).collect();
     Background::run(move || {
         for connection in &mut idle {
-            let open = connection.as_ref().is_some_and(|stream| {
+            let is_open = connection.as_ref().is_some_and(|stream| {
                 stream
                     .peek(&mut [0])
                     .is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
             });
-            if !open {
+            if !is_open {
                 *connection = TcpStream::connect(address).ok();
                 if let Some(stream) = connection {
                     stream.set_nonblocking(true).unwrap();
@@ -87,28 +87,34 @@
     rig.restart_discovery(reserved);
     let recovered_at = Instant::now();
     rig.accept_watch();
-    let watched = recovered_at.elapsed();
+    let watch_delay = recovered_at.elapsed();
     sample_descriptors(&rig);
     rig.announce_health(server_index, "DRAINING", 2);
     rig.wait_for_log("seq: 2");
-    let asked = Instant::now();
+    let asked_at = Instant::now();
     assert_eq!(rig.admin_call("check\r\n"), "done");
-    let checked = asked.elapsed();
+    let check_duration = asked_at.elapsed();
     sample_descriptors(&rig);
-    let asked = Instant::now();
-    let (client, other, server) = rig.establish();
-    let served = asked.elapsed();
+    let asked_at = Instant::now();
+    let (client, chosen, server) = rig.establish();
+    let service_duration = asked_at.elapsed();
     sample_descriptors(&rig);
     eprintln!(
-        "watch opened after {watched:?}, checked in {checked:?}, served in {served:?}, {max_count} descriptors"
+        "watch opened after {watch_delay:?}, checked in {check_duration:?}, served in {service_duration:?}, {max_count} descriptors"
     );
     assert_ne!(
-        other, server_index,
+        chosen, server_index,
         "the request went to the draining server"
     );
-    assert!(watched < Duration::from_secs(6), "{watched:?}");
-    assert!(checked < Duration::from_secs(1), "{checked:?}");
-    assert!(served < Duration::from_secs(1), "{served:?}");
+    assert!(watch_delay < Duration::from_secs(6), "{watch_delay:?}");
+    assert!(
+        check_duration < Duration::from_secs(1),
+        "{check_duration:?}"
+    );
+    assert!(
+        service_duration < Duration::from_secs(1),
+        "{service_duration:?}"
+    );
     assert!(max_count <= sockets, "{max_count} descriptors");
     drop((idle, established, client, server));
 }
@@ -125,7 +131,7 @@
 
 /// Runs one discovery service behind the listeners of all nodes.
 fn run_shared_discovery(listeners: Vec<TcpListener>, discovery: Discovery) -> Background {
-    let (mut waiting, mut established, mut free_at) = (VecDeque::new(), Vec::new(), Instant::now());
+    let (mut waiting, mut watches, mut free_at) = (VecDeque::new(), Vec::new(), Instant::now());
     Background::run(move || {
         for listener in &listeners {
             while let Ok((stream, _)) = listener.accept() {
@@ -147,7 +153,7 @@
                 &mut call.stream,
                 if is_late { BUSY } else { NEW_WATCH }.as_bytes(),
             );
-            established.extend((!is_late).then_some(call));
+            watches.extend((!is_late).then_some(call));
         }
     })
 }
@@ -167,7 +173,7 @@
             })
         })
         .collect();
-    let down: Vec<_> = match discovery {
+    let reserved_addresses: Vec<_> = match discovery {
         Discovery::Down => rigs.iter_mut().map(Rig::stop_discovery).collect(),
         _ => Vec::new(),
     };
@@ -194,7 +200,7 @@
         "ready after {:?}, {:?}, {:?}, {:?}",
         ready_times[0], ready_times[14], ready_times[26], ready_times[29]
     );
-    drop(down);
+    drop(reserved_addresses);
     assert!(
         ready_times[26] <= Duration::from_secs(10),
         "{ready_times:?}"
--- a/crates/node/tests/health_checks.rs
+++ b/crates/node/tests/health_checks.rs
@@ -145,9 +145,7 @@
 
 /// The server closes the health check's connection, or answers with an error.
 #[rstest]
-fn a_server_that_fails_its_health_checks_is_skipped(
-    #[values(true, false)] answers_with_error: bool,
-) {
+fn a_server_that_fails_its_health_checks_is_skipped(#[values(true, false)] has_error_answer: bool) {
     let mut rig = start_with_health_checks(2);
     let mut clients = Vec::new();
     let mut failing = None;
@@ -169,7 +167,7 @@
             .map(|(server_index, stream)| (server_index, LineStream::new(stream)))?;
             let is_failing = *failing.get_or_insert(server_index) == server_index;
             match server.receive().starts_with("STATS") {
-                true if is_failing && answers_with_error => server.send("ERR\r\n"),
+                true if is_failing && has_error_answer => server.send("ERR\r\n"),
                 true if is_failing => {}
                 true => server.send("PONG rate=1,x0=0.1\r\n"),
                 false => {
@@ -179,7 +177,7 @@
                 }
             }
             // An unanswered connection is closed here.
-            if !is_failing || answers_with_error {
+            if !is_failing || has_error_answer {
                 std::mem::forget(server);
             }
         }
--- a/crates/node/tests/operation.rs
+++ b/crates/node/tests/operation.rs
@@ -22,15 +22,15 @@
 #[case::empty("\r\n", "error the call is empty")]
 fn a_call_has_one_line_for_an_answer(#[case] call: &str, #[case] answer: &str) {
     let mut rig = Rig::start(1);
-    for cut in [call.len(), 1, 4] {
+    for chunk_size in [call.len(), 1, 4] {
         let mut caller = rig.connect_admin();
-        for piece in call.as_bytes().chunks(cut) {
-            caller.send(std::str::from_utf8(piece).unwrap());
+        for chunk in call.as_bytes().chunks(chunk_size) {
+            caller.send(std::str::from_utf8(chunk).unwrap());
         }
         assert_eq!(
             [caller.receive(), caller.receive()],
             [answer, ""],
-            "cut at {cut}"
+            "chunks of {chunk_size} bytes"
         );
     }
     rig.establish();
@@ -40,8 +40,8 @@
 fn an_incomplete_call_is_an_error_and_silent_callers_delay_nobody() {
     let rig = Rig::start_with_descriptors(1, 256);
     let started_at = Instant::now();
-    let mut half = rig.connect_admin();
-    half.send("set-down s");
+    let mut incomplete = rig.connect_admin();
+    incomplete.send("set-down s");
     let silent: Vec<_> = (0..300).map(|_| rig.connect_admin()).collect();
     for _ in 0..5 {
         let started_at = Instant::now();
@@ -57,9 +57,9 @@
         .admin_call(&"x".repeat(4096))
         .starts_with("error the call is longer"));
     drop(silent);
-    let mut half = rig.connect_admin();
-    half.send("set-down s");
-    assert_eq!(half.receive(), "error no whole call came in time");
+    let mut incomplete = rig.connect_admin();
+    incomplete.send("set-down s");
+    assert_eq!(incomplete.receive(), "error no whole call came in time");
     assert!(
         started_at.elapsed() > Duration::from_secs(4),
         "an incomplete call is kept for 4 s"
@@ -96,33 +96,33 @@
 
 /// A first line, a server's answer and lines, and discovery's list may arrive cut at any byte.
 #[rstest]
-fn lines_may_be_cut_at_any_byte(#[values(1, 2, 7, 31)] piece: usize) {
+fn lines_may_be_cut_at_any_byte(#[values(1, 2, 7, 31)] chunk_size: usize) {
     let mut rig = Rig::start(2);
-    let cut = |line: &mut common::LineStream, text: &str| {
+    let send_in_chunks = |line: &mut common::LineStream, text: &str| {
         line.stream.set_nodelay(true).unwrap();
         text.as_bytes()
-            .chunks(piece)
+            .chunks(chunk_size)
             .for_each(|chunk| line.send(std::str::from_utf8(chunk).unwrap()));
     };
     let mut client = rig.connect_client();
-    cut(
+    send_in_chunks(
         &mut client,
         "OPEN 00000000000000aa f c=chat,d=15000,g=a\r\n",
     );
     let (server_index, mut server) = rig.accept_attempt();
     server.receive();
-    cut(&mut server, "LOAD 12\r\nUP r1\r\nLOAD 1500\r\nfirst\r\n");
+    send_in_chunks(&mut server, "LOAD 12\r\nUP r1\r\nLOAD 1500\r\nfirst\r\n");
     assert_eq!(
         [client.receive(), client.receive(), client.receive()],
         ["UP r1", "LOAD 1500", "first"]
     );
     rig.wait_for_log("load observed, load_us: 1500");
-    cut(&mut client, "second\r\n");
+    send_in_chunks(&mut client, "second\r\n");
     assert_eq!(server.receive(), "second");
     let mut watch = rig.watch.take().unwrap();
     let host = format!(r#"{{"host":"s-{server_index}","dial":"127.0.0.1:1","health":"DRAINING"}}"#);
     let list = format!("{{\"seq\":5,\"whole\":false,\"hosts\":[{host}]}}\n");
-    cut(&mut watch, &format!("{:x}\r\n{list}\r\n", list.len()));
+    send_in_chunks(&mut watch, &format!("{:x}\r\n{list}\r\n", list.len()));
     rig.wait_for_log("seq: 5");
 }
 
@@ -195,8 +195,8 @@
         .iter()
         .all(|(_, chosen, _)| *chosen != server_index));
     // A restored connection would be a new one for the server, too.
-    let (mut old, _) = rig.send_request(&format!("d=30000,g=a,at=s-{server_index}"));
-    assert_eq!(old.receive(), "BUSY");
+    let (mut restored, _) = rig.send_request(&format!("d=30000,g=a,at=s-{server_index}"));
+    assert_eq!(restored.receive(), "BUSY");
     drop(established);
     rig.undrain(server_index);
 }
--- a/crates/node/tests/operation_limits.rs
+++ b/crates/node/tests/operation_limits.rs
@@ -104,7 +104,11 @@
             .or_default()
             .push((client, server));
     }
-    let draining = *clients.iter().max_by_key(|(_, held)| held.len()).unwrap().0;
+    let draining = *clients
+        .iter()
+        .max_by_key(|(_, connections)| connections.len())
+        .unwrap()
+        .0;
     rig.announce_health(draining, "DRAINING", 2);
     let announced_at = Instant::now();
     for (client, _server) in clients.get_mut(&draining).unwrap() {
--- a/crates/node/tests/protocol.rs
+++ b/crates/node/tests/protocol.rs
@@ -114,7 +114,7 @@
     assert!((1..=2000).contains(&wait), "{answer}");
     assert!(
         started_at.elapsed() < Duration::from_secs(10),
-        "held for {:?}",
+        "answered after {:?}",
         started_at.elapsed()
     );
     assert_eq!(client.receive(), "");
@@ -326,8 +326,8 @@
         // A client that disconnects at once would cancel its attempt before it starts.
         let (mut client, _) = rig.send_request("d=1000,g=a");
         let answered = || {
-            let attempted = rig.servers[0].as_ref()?.accept().is_ok();
-            (attempted || !client.is_quiet()).then_some(attempted)
+            let is_attempted = rig.servers[0].as_ref()?.accept().is_ok();
+            (is_attempted || !client.is_quiet()).then_some(is_attempted)
         };
         wait_until("an attempt or an answer", answered).then_some(())
     });
@@ -402,9 +402,9 @@
         server.receive();
         drop(server);
         assert_eq!(client.receive(), "");
-        let (next, next_index, now) = rig.establish();
+        let (next_client, next_index, next_server) = rig.establish();
         assert_eq!(next_index, server_index);
-        (client, server) = (next, now);
+        (client, server) = (next_client, next_server);
     }
 }
 
--- a/crates/node/tests/races.rs
+++ b/crates/node/tests/races.rs
@@ -16,18 +16,18 @@
 
 /// The way in which a client disconnects.
 #[derive(Clone, Copy)]
-enum Departure {
+enum Disconnect {
     Closes,
     Resets,
     SendsMore,
 }
 
-fn leave(rig: &Rig, client: common::LineStream, departure: Departure) {
+fn disconnect_client(rig: &Rig, client: common::LineStream, disconnect: Disconnect) {
     let from = client.stream.local_addr().unwrap();
-    match departure {
-        Departure::Closes => drop(client),
-        Departure::Resets => reset_connection(client),
-        Departure::SendsMore => {
+    match disconnect {
+        Disconnect::Closes => drop(client),
+        Disconnect::Resets => reset_connection(client),
+        Disconnect::SendsMore => {
             let mut client = client;
             client.send("more\r\n");
             client.stream.shutdown(Shutdown::Both).unwrap();
@@ -40,8 +40,8 @@
 /// that has disconnected must not be sent in either case.
 #[rstest]
 fn a_request_whose_client_has_left_is_not_sent_when_its_attempt_connects(
-    #[values(Departure::Closes, Departure::Resets, Departure::SendsMore)] departure: Departure,
-    #[values(true, false)] leaves_first: bool,
+    #[values(Disconnect::Closes, Disconnect::Resets, Disconnect::SendsMore)] disconnect: Disconnect,
+    #[values(true, false)] is_client_first: bool,
 ) {
     let mut rig = Rig::start(1);
     rig.change_settings(allow_slow_connects);
@@ -49,12 +49,12 @@
     let (client, _) = rig.send_request("d=20000,g=a");
     rig.wait_for_log("request received");
     rig.pause();
-    let mut server = if leaves_first {
-        leave(&rig, client, departure);
+    let mut server = if is_client_first {
+        disconnect_client(&rig, client, disconnect);
         full_backlog.release()
     } else {
         let server = full_backlog.release();
-        leave(&rig, client, departure);
+        disconnect_client(&rig, client, disconnect);
         server
     };
     rig.resume();
@@ -81,7 +81,7 @@
     let mut connected = vec![full_backlog.release()];
     connected.extend((0..7).map(|_| rig.accept_attempt().1));
     for client in clients {
-        leave(&rig, client, Departure::Closes);
+        disconnect_client(&rig, client, Disconnect::Closes);
     }
     rig.resume();
     rig.wait_for_log_count("client left", 150);
@@ -135,13 +135,13 @@
 #[case::indented(true, 2)]
 #[case::version_went_back(true, 0)]
 fn an_endpoint_list_is_applied_however_it_is_laid_out(
-    #[case] indented: bool,
+    #[case] is_indented: bool,
     #[case] seq: u64,
     #[values(1, 7, 4096)] chunk_size: usize,
 ) {
     let mut rig = Rig::start(2);
     let list = rig.endpoint_list(&["DRAINING", "SERVING"], seq, true);
-    let text = if indented {
+    let text = if is_indented {
         serde_json::to_string_pretty(&list).unwrap()
     } else {
         list.to_string()
@@ -254,11 +254,17 @@
 
 /// Of two pending calls, the one that is answered, either one, becomes the watch, and the other one is closed.
 #[rstest]
-fn the_discovery_call_that_is_answered_first_becomes_the_watch(#[values(true, false)] first: bool) {
+fn the_discovery_call_that_is_answered_first_becomes_the_watch(
+    #[values(true, false)] is_first_answered: bool,
+) {
     let mut rig = Rig::start(1);
     let (one, _) = rig.accept_discovery_call_after_silence();
     let (two, _) = rig.accept_discovery_call();
-    let (mut answered, mut other) = if first { (one, two) } else { (two, one) };
+    let (mut answered, mut other) = if is_first_answered {
+        (one, two)
+    } else {
+        (two, one)
+    };
     answered.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     assert_eq!(other.receive(), "", "the other call is closed");
     rig.watch = Some(answered);
@@ -273,7 +279,7 @@
 #[case::down(true)]
 #[case::hangs(false)]
 fn changes_are_applied_in_time_once_discovery_is_back(
-    #[case] rejects: bool,
+    #[case] is_rejecting: bool,
     #[values(2, 300)] nodes: u32,
 ) {
     let mut rig = Rig::start_as_one_of(nodes, 1);
@@ -281,7 +287,7 @@
     let mut hung = Vec::new();
     for _ in 0..3 {
         let (mut call, _) = rig.accept_discovery_call();
-        if rejects {
+        if is_rejecting {
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         } else {
             hung.push(call);
@@ -329,7 +335,7 @@
 fn at_shutdown_waiting_requests_are_answered_as_their_class_allows(
     #[case] repeat: &str,
     #[case] group: &str,
-    #[case] sent: bool,
+    #[case] is_sent: bool,
     #[case] has_retry_after: bool,
     #[case] answer: &str,
 ) {
@@ -340,9 +346,9 @@
         settings["Categories"][0]["Group"] = group.into();
         settings["Limits"]["RetryAfter"] = has_retry_after.into();
     });
-    let full_backlog = (!sent).then(|| rig.fill_backlog(0));
+    let full_backlog = (!is_sent).then(|| rig.fill_backlog(0));
     let (mut client, _) = rig.send_request("d=60000,g=a");
-    let server = sent.then(|| {
+    let server = is_sent.then(|| {
         let (_, mut server) = rig.accept_attempt();
         server.receive();
         server
--- a/crates/node/tests/shutdown.rs
+++ b/crates/node/tests/shutdown.rs
@@ -38,7 +38,9 @@
 struct Plan {
     longest_deadline_ms: u64,
     later_signal: LaterSignal,
+    /// Connections that exchange lines throughout.
     relays: usize,
+    /// Connections that are open before SIGTERM and send their first line at a random time after it.
     idle: usize,
     /// Connections that never send anything.
     silent: usize,
@@ -121,12 +123,12 @@
     let exit = rig.watch_exit();
     let started_at = Instant::now();
     rig.signal("-TERM");
-    let second_signal_after = Duration::from_millis(rng.random_range(20..200));
+    let later_signal_after = Duration::from_millis(rng.random_range(20..200));
     let mut later_signal = Some(plan.later_signal);
     let mut sent = Vec::new();
     for (number, (send_ms, client)) in sends.into_iter().enumerate() {
         let send_after = Duration::from_millis(send_ms);
-        if send_after >= second_signal_after {
+        if send_after >= later_signal_after {
             if let Some(later_signal) = later_signal.take() {
                 send_later_signal(&mut rig, later_signal, deadline_ms);
             }
@@ -143,10 +145,10 @@
     // The clients keep their connections open: the process must exit without waiting for them.
     assert!(rig.wait_for_exit().success());
     drop(sent);
-    let took = exit.join().unwrap() - started_at;
+    let duration = exit.join().unwrap() - started_at;
     assert!(
-        took < Duration::from_millis(kill_ms),
-        "exit after the earliest SIGKILL: {took:?}"
+        duration < Duration::from_millis(kill_ms),
+        "exit after the earliest SIGKILL: {duration:?}"
     );
     for relay in relays {
         relay.join().unwrap();
@@ -192,7 +194,7 @@
     let outcomes = run_shutdown(&plan, longest_deadline_ms);
     let lost = outcomes
         .iter()
-        .filter(|request_outcome| **request_outcome == RequestOutcome::Lost)
+        .filter(|outcome| **outcome == RequestOutcome::Lost)
         .count();
     assert_eq!(lost, 0, "{outcomes:?}");
 }
@@ -205,24 +207,25 @@
     let mut rig = Rig::start_with_config(1, |config| set_deadline(config, deadline_ms));
     let started_at = Instant::now();
     rig.signal("-TERM");
-    for at_ms in [100, 200, 300, NEW_CONNECTIONS_MS] {
-        std::thread::sleep(Duration::from_millis(at_ms).saturating_sub(started_at.elapsed()));
-        let (mut client, _) = rig.send_request(&format!("d={deadline_ms},g={at_ms}"));
+    for arrival_ms in [100, 200, 300, NEW_CONNECTIONS_MS] {
+        std::thread::sleep(Duration::from_millis(arrival_ms).saturating_sub(started_at.elapsed()));
+        let (mut client, _) = rig.send_request(&format!("d={deadline_ms},g={arrival_ms}"));
         let is_forwarded = || {
-            let attempted = rig.servers[0].as_ref().unwrap().accept().is_ok();
-            (attempted || !client.is_quiet()).then_some(attempted)
+            let is_attempted = rig.servers[0].as_ref().unwrap().accept().is_ok();
+            (is_attempted || !client.is_quiet()).then_some(is_attempted)
         };
         if !wait_until("an attempt or an answer", is_forwarded) {
             assert!(
                 client.receive().starts_with("BUSY"),
-                "{at_ms} ms after SIGTERM"
+                "{arrival_ms} ms after SIGTERM"
             );
         }
     }
     assert!(rig.wait_for_exit().success());
 }
 
-/// A configuration with another longest deadline is loaded before SIGTERM: SIGKILL may come by the shorter one.
+/// A configuration with another longest deadline is loaded before SIGTERM: the shorter one determines the earliest
+/// SIGKILL, by which the process must have exited.
 #[rstest]
 #[case::shorter(3000, 500)]
 #[case::longer(500, 3000)]
@@ -270,7 +273,7 @@
         let outcomes = run_shutdown(&plan, seed);
         let count = outcomes
             .iter()
-            .filter(|request_outcome| **request_outcome == RequestOutcome::Lost)
+            .filter(|outcome| **outcome == RequestOutcome::Lost)
             .count();
         if count > 0 {
             lost.push(format!("seed {seed}: {count} of {}", outcomes.len()));
@@ -358,8 +361,8 @@
     assert!(started_at.elapsed() < Duration::from_secs(1));
 }
 
-/// A node without clients exits early, but not while accepts fail: a connection that arrived soon enough after SIGTERM
-/// must be served.
+/// A node without clients exits early, but not while accepts fail: a connection that arrived within `NEW_CONNECTIONS_MS`
+/// after SIGTERM must be served.
 #[test]
 fn a_node_without_clients_does_not_exit_while_accepts_fail() {
     let faults = SyscallFaults::new("accept=ENFILE:100", 1);
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail in the ways that Linux documents: no request, line or signal is lost by them.
+//! System calls that fail in the ways that Linux documents: no request, line or signal is lost because of them.
 
 mod common;
 use common::{wait_until, EchoServers, LineStream, Rig, SyscallFaults};
@@ -113,7 +113,7 @@
     assert_graceful_shutdown(&mut rig, served);
 }
 
-/// A local fault must neither reject a request nor count against a server.
+/// A local fault must neither cause a rejection nor count as a failure of a server.
 #[rstest]
 #[case::network("connect=ENETUNREACH:20")]
 #[case::network_down("connect=ENETDOWN:20")]
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -82,14 +82,18 @@
 #[case::to_the_newer(1)]
 #[case::to_the_older(2)]
 #[case::after(3)]
-fn drained_servers_stay_drained_across_an_upgrade(#[case] when: usize) {
+fn drained_servers_stay_drained_across_an_upgrade(#[case] call_phase: usize) {
     let mut rig = Rig::start_with_inherited_listener(2);
     let (mut client, server_index, _server) = rig.establish();
-    let older = rig.admin_address();
+    let older_address = rig.admin_address();
     let down = format!("set-down s-{server_index}\r\n");
-    let call = |rig: &Rig, now: usize| {
-        if when == now {
-            let address = if now == 2 { older } else { rig.admin_address() };
+    let call = |rig: &Rig, phase: usize| {
+        if call_phase == phase {
+            let address = if phase == 2 {
+                older_address
+            } else {
+                rig.admin_address()
+            };
             assert_eq!(admin_call_at(address, &down), "done");
         }
     };
@@ -97,9 +101,9 @@
     rig.start_successor();
     rig.accept_watch();
     rig.wait_until_ready();
-    (1..=2).for_each(|now| call(&rig, now));
+    (1..=2).for_each(|phase| call(&rig, phase));
     let mut established = Vec::new();
-    if when < 3 {
+    if call_phase < 3 {
         // Whichever process got the call, the one that holds the connection moves it, and both drain the server.
         assert_eq!(client.receive(), "MOVE");
         rig.wait_for_log_count("admin drains changed", 2);
@@ -140,29 +144,29 @@
 #[case::killed("ready")]
 #[case::cannot_serve("successor connected")]
 #[case::fails_during_the_handoff("")]
-fn without_a_usable_successor_a_process_moves_its_clients(#[case] until: &str) {
+fn without_a_usable_successor_a_process_moves_its_clients(#[case] stage: &str) {
     let mut rig = Rig::start_with_inherited_listener(1);
     let (mut client, _, mut server) = rig.establish();
-    if until.is_empty() {
+    if stage.is_empty() {
         let successor = connect_as_successor(&rig);
         send_signal(rig.oldest_process(), "-TERM");
         // The successor receives the connection and fails before it confirms it.
         wait_until("the connection", || {
             let mut packet = [0; 4096];
-            let got = (&successor).read(&mut packet).unwrap();
-            packet[..got].starts_with(b"{\"Standing\"").then_some(())
+            let length = (&successor).read(&mut packet).unwrap();
+            packet[..length].starts_with(b"{\"Standing\"").then_some(())
         });
     } else {
         rig.start_successor();
-        if until == "ready" {
+        if stage == "ready" {
             rig.accept_watch();
             rig.wait_until_ready();
             rig.signal("-KILL");
         }
-        rig.wait_for_log(if until == "ready" {
+        rig.wait_for_log(if stage == "ready" {
             "peer process lost"
         } else {
-            until
+            stage
         });
         send_signal(rig.oldest_process(), "-TERM");
     }
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -172,9 +172,9 @@
     let _idle: Vec<LineStream> = (0..3).map(|_| rig.connect_client()).collect();
     rig.switch_faults_off();
     wait_until("the node exits", || (!rig.is_running()).then_some(()));
-    let took = terminated_at.elapsed();
+    let duration = terminated_at.elapsed();
     assert!(
-        took > Duration::from_millis(700) && took < Duration::from_millis(2700),
-        "{took:?}"
+        duration > Duration::from_millis(700) && duration < Duration::from_millis(2700),
+        "{duration:?}"
     );
 }
--- a/crates/test-servers/src/discovery/watch.rs
+++ b/crates/test-servers/src/discovery/watch.rs
@@ -83,7 +83,7 @@
     id: ComponentId,
     node: usize,
     lines: LineStream,
-    /// The newest sequence number that was sent; none until the request line is read.
+    /// The newest sequence number that was sent; `None` until the request line is read.
     last_sequence: Option<u64>,
     last_heartbeat: Instant,
 }
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -51,7 +51,7 @@
     ClientTimeout,
     /// A client sends its next line.
     SendLine,
-    /// A client's connection ends as planned.
+    /// A client closes its connection as planned, or after it has lingered.
     Disconnect,
 }
 
--- a/crates/test-servers/src/observation.rs
+++ b/crates/test-servers/src/observation.rs
@@ -1,4 +1,4 @@
-//! Observations of clients, upstream servers and discovery, by which alone a checker judges a run.
+//! Observations of clients, upstream servers and discovery: the only input by which a checker judges a run.
 
 use std::time::Instant;
 
