--- a/crates/scale/src/cli.rs
+++ b/crates/scale/src/cli.rs
@@ -42,7 +42,7 @@
 
 fn real() -> impl Parser<usize> {
     long("real")
-        .help("Number of nodes that are processes of the program; the others are hollow")
+        .help("Number of nodes that are processes of the program; the others are hollow: they run only the control plane")
         .argument::<usize>("N")
         .fallback(5)
 }
@@ -88,7 +88,7 @@
     let settle = number_with_default("settle", settle_help, "S", 120.0);
     let loss = number_with_default(
         "loss",
-        "Fraction of messages that the proxies drop or delay",
+        "Fraction of datagrams that the proxies drop, and of stream chunks that they delay",
         "P",
         0.0,
     );
@@ -126,7 +126,7 @@
 fn run_command() -> impl Parser<Command> {
     construct!(Command::Run(run_arguments()))
         .to_options()
-        .descr("Run a cluster; the exit code is 1 if a bound is exceeded or a rule is violated")
+        .descr("Run a cluster; the exit code is 1 if a bound is exceeded, a rule is violated, or a new limit does not reach all nodes")
         .command("run")
 }
 
--- a/crates/scale/src/counting_proxy/counted_stream.rs
+++ b/crates/scale/src/counting_proxy/counted_stream.rs
@@ -191,7 +191,7 @@
         for side in Side::BOTH {
             self.write_due(context, side)?;
         }
-        // An end of one direction ends the connection: nodes use both directions.
+        // If one direction has ended, closes the connection: nodes use both directions.
         if self.dialer.relay.is_target_shut_down() || self.target.relay.is_target_shut_down() {
             return Ok(Lifecycle::Close);
         }
--- a/crates/scale/src/counting_proxy/counters.rs
+++ b/crates/scale/src/counting_proxy/counters.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns the number of datagrams dropped, and of delays added to stream chunks, by the proxies.
+    /// Returns the number of injected losses: datagrams dropped, and retransmission delays added to stream chunks.
     pub fn lost(&self) -> u64 {
         read(&self.lost)
     }
--- a/crates/scale/src/counting_proxy/listener.rs
+++ b/crates/scale/src/counting_proxy/listener.rs
@@ -70,7 +70,7 @@
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, sender)) => self.relay_datagram(context, sender, &bytes[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // An earlier datagram was refused, because its node does not run.
+                // The system refused an earlier datagram, because the node is not running.
                 Err(_) => {}
             }
         }
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -54,7 +54,7 @@
         /// The reason.
         source: serde_json::Error,
     },
-    /// A process of hollow nodes accepts no commands.
+    /// A command can't be sent to a process of hollow nodes.
     #[error("failed to send a command to the hollow nodes from node {first_node} on")]
     HostCommand {
         /// First node of the process.
--- a/crates/scale/src/hollow_host/budget_consumer.rs
+++ b/crates/scale/src/hollow_host/budget_consumer.rs
@@ -1,4 +1,5 @@
-//! Replaces the data path of a hollow node: uses the budget according to the demand, and reports the node's state.
+//! Replaces the data path of a hollow node: uses the slow-start budget according to the demand, and reports the node's
+//! state.
 
 use super::protocol::{unix_us, NodeReport};
 use super::HostSettings;
@@ -11,21 +12,21 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-/// Interval at which a hollow node is observed.
+/// Interval at which a hollow node calls its observer.
 pub(super) const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between reports if nothing has changed.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Demand varies around its mean by up to half.
+/// Minimum of the random factor of the demand: the demand varies by up to half of its mean.
 const MIN_DEMAND_FACTOR: f64 = 0.5;
 
-/// Usage of the budget.
+/// Usage of the budget by one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Consumption {
-    /// Uses at this time.
+    /// Number of uses by this call.
     pub use_count: u32,
-    /// Uses within the window that ends now.
+    /// Number of uses within the window that ends with this call, including those of this call.
     pub window_count: u32,
-    /// Whether demand exceeded the limit.
+    /// Whether the limit prevented uses.
     pub was_limited: bool,
 }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Uses the budget for the demand since the last call, up to the limit.
+    /// Uses the budget for the demand since the last call, in uses per second, up to `limit` uses in any `window`.
     pub fn consume(
         &mut self,
         now: Instant,
@@ -71,7 +72,7 @@
         limit: u32,
         window: Duration,
     ) -> Consumption {
-        let is_expired = |at: &Instant| now.duration_since(*at) >= window;
+        let is_expired = |used_at: &Instant| now.duration_since(*used_at) >= window;
         while self.uses.front().is_some_and(is_expired) {
             self.uses.pop_front();
         }
--- a/crates/scale/src/hollow_host/tests.rs
+++ b/crates/scale/src/hollow_host/tests.rs
@@ -46,7 +46,7 @@
         was_limited |= consumption.was_limited;
         let within = uses
             .iter()
-            .filter(|at| now.duration_since(**at) < window)
+            .filter(|used_at| now.duration_since(**used_at) < window)
             .count();
         let reported = consumption.window_count;
         assert!(
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,7 +1,8 @@
 //! Measures the cost of the control plane by cluster size.
 //!
-//! Hollow nodes, many in one process, run the real control-plane code beside a few full nodes; a proxy in front of each
-//! node counts the traffic that other nodes send to it. `docs/design/scale.md` gives the reasons for this design.
+//! Hollow nodes, many in one process, run the real control-plane code without a data path. A few real nodes, each a
+//! process of the program, run beside them. A proxy in front of each node counts the traffic that other nodes send to
+//! it. `docs/design/scale.md` gives the reasons for this design.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -68,7 +68,8 @@
 }
 
 impl Bounds {
-    /// Checks an outcome for violations and exceeded bounds, and prints the latter.
+    /// Fails if a rule is violated, a new limit has not reached all nodes, or a bound is exceeded. Prints the metrics
+    /// that exceed their bounds.
     fn check(&self, outcome: &Outcome) -> CommandResult {
         let role_metric = |role: &str, metric: fn(&RoleCost) -> f64| {
             let cost = outcome.roles.get(role);
@@ -96,7 +97,7 @@
     }
 }
 
-/// Returns true if a metric was measured and is within its bound.
+/// Returns true if a metric has no bound, or was measured and is within its bound. Otherwise prints the metric.
 fn is_within(metric: &str, value: f64, max: Option<f64>) -> bool {
     let Some(max) = max else {
         return true;
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -23,7 +23,7 @@
 pub struct RunOptions {
     /// Number of all nodes.
     pub node_count: usize,
-    /// Number of real nodes: processes of the program.
+    /// Number of real nodes, each a process of the program.
     pub real_count: usize,
     /// Number of nodes that the operator's file lists; all if `None`.
     pub expected_count: Option<usize>,
@@ -100,7 +100,7 @@
 }
 
 impl RunOptions {
-    /// Number of nodes that the operator's file lists.
+    /// Returns the number of nodes that the operator's file lists.
     pub fn expected_count(&self) -> usize {
         self.expected_count.unwrap_or(self.node_count)
     }
@@ -140,7 +140,8 @@
         Ok(())
     }
 
-    /// All expected nodes bootstrap the control group as voters, and connect to each other.
+    /// Checks the limit of file descriptors. All expected nodes bootstrap the control group as voters, and connect to
+    /// each other.
     fn validate_descriptors(&self) -> Result<(), InvalidOption> {
         let expected = self.expected_count();
         let needed =
@@ -168,7 +169,7 @@
     })
 }
 
-/// Maximum number of file descriptors of this process.
+/// Returns the maximum number of file descriptors of this process.
 fn descriptor_limit() -> Option<usize> {
     let limits = fs::read_to_string("/proc/self/limits").ok()?;
     let mut lines = limits.lines();
--- a/crates/scale/src/outcome.rs
+++ b/crates/scale/src/outcome.rs
@@ -32,7 +32,8 @@
     pub cpu_share_max: f64,
     /// CPU usage as a fraction of a core: mean over all nodes.
     pub cpu_share_mean: f64,
-    /// Resident memory of the largest node; for a hollow node, that of its process divided by the process's nodes.
+    /// Resident memory of the largest node in MB; for a hollow node, that of its process divided by the number of nodes
+    /// in the process.
     pub rss_mb_max: f64,
     /// Cost of each second, summed over the nodes.
     pub seconds: Vec<RoleSecond>,
@@ -209,7 +210,7 @@
     /// Number of all nodes.
     #[serde(rename = "nodes")]
     pub node_count: usize,
-    /// Number of real nodes: processes of the program.
+    /// Number of real nodes, each a process of the program.
     #[serde(rename = "real")]
     pub real_count: usize,
     /// Number of nodes that the operator's file lists.
@@ -217,7 +218,7 @@
     pub expected_count: usize,
     /// Seed of the run.
     pub seed: u64,
-    /// Fraction of messages that the proxies dropped or delayed.
+    /// Fraction of datagrams that the proxies drop, and of stream chunks that they delay.
     #[serde(rename = "loss")]
     pub loss_ratio: f64,
     /// Duration of the cost measurement in seconds.
@@ -225,15 +226,15 @@
     pub measured_s: f64,
     /// Version of this program.
     pub version: &'static str,
-    /// Seconds until all nodes had a leader and reported all nodes as live.
+    /// Seconds from the start of the nodes until all of them had a leader and reported all nodes as live.
     pub settle_s: f64,
-    /// Seconds until the number of voters was reduced.
+    /// Seconds from the start of the nodes until the number of voters was reduced to its maximum.
     pub votes_s: f64,
     /// Names of the voters at the end.
     pub voters: Vec<String>,
     /// Name of the leader at the end.
     pub leader: String,
-    /// Cost by role.
+    /// Cost by role. The leader also counts as `control`, the role of all voters; the other roles contain no voters.
     pub roles: BTreeMap<&'static str, RoleCost>,
     /// Times until nodes knew a new limit of the budget.
     #[serde(rename = "change_ms")]
@@ -246,10 +247,10 @@
     /// Violations of the budgets' rules.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Number of datagrams that the proxies dropped, and of delays that they added to stream chunks.
+    /// Number of injected losses: datagrams dropped, and retransmission delays added to stream chunks.
     #[serde(rename = "lost")]
     pub lost_count: u64,
-    /// Datagrams of unknown senders, undecodable directions of streams, and streams that could not be opened.
+    /// Number of datagrams of unknown senders, undecodable directions of streams, and streams that could not be opened.
     #[serde(rename = "unknown")]
     pub unknown_count: u64,
 }
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -23,7 +23,7 @@
 const POINT_RADIUS: u32 = 4;
 const LINEAR_OPACITY: f64 = 0.6;
 const QUADRATIC_OPACITY: f64 = 0.9;
-/// Steps of the curve of a model, from the smallest to the largest size.
+/// Number of steps of the curve of a model, from the smallest to the largest size.
 const CURVE_STEP_COUNT: u32 = 40;
 /// Bounds of the axes, as factors of the smallest and largest size and value.
 const MIN_SIZE_FACTOR: f64 = 0.8;
--- a/crates/scale/src/regression.rs
+++ b/crates/scale/src/regression.rs
@@ -25,7 +25,7 @@
     pub base: f64,
     /// Increase per node.
     pub slope: f64,
-    /// Root mean square error, as a fraction of the mean.
+    /// Root mean square error, as a fraction of the mean value.
     pub residual: f64,
     /// The power law for the same points; `None` if a value is not above 0.
     pub power_law: Option<PowerLaw>,
@@ -46,14 +46,14 @@
 pub struct QuadraticFit {
     /// Value per node at size 0.
     pub base: f64,
-    /// Increase of the value per node with each node.
+    /// Increase of the value per node with each additional node.
     pub slope: f64,
     /// As in [`LinearFit`].
     pub residual: f64,
 }
 
 impl LinearFit {
-    /// Fits points of at least two sizes.
+    /// Fits points; returns `None` if all points have the same size.
     pub fn new(points: &[Point]) -> Option<LinearFit> {
         let line = Line::fit(points)?;
         Some(LinearFit {
@@ -64,7 +64,7 @@
         })
     }
 
-    /// The value at a size.
+    /// Returns the value at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
@@ -89,7 +89,7 @@
 }
 
 impl QuadraticFit {
-    /// Fits points of at least two sizes.
+    /// Fits points; returns `None` if all points have the same size.
     pub fn new(points: &[Point]) -> Option<QuadraticFit> {
         let per_node: Vec<Point> = points
             .iter()
@@ -104,7 +104,7 @@
         })
     }
 
-    /// The value at a size.
+    /// Returns the value at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         size * (self.base + self.slope * size)
     }
@@ -140,7 +140,7 @@
     }
 }
 
-/// Root mean square error of a model, as a fraction of the mean.
+/// Returns the root mean square error of a model, as a fraction of the mean value.
 fn residual(points: &[Point], model: impl Fn(f64) -> f64) -> f64 {
     let count = points.len() as f64;
     let squares = points
@@ -166,7 +166,7 @@
         Metric { role, name }
     }
 
-    /// Returns the points of several outcomes, without those in which no node had the role.
+    /// Returns one point per outcome, without the outcomes in which no node had the role.
     pub fn points(&self, outcomes: &[Value]) -> Vec<Point> {
         outcomes
             .iter()
--- a/crates/scale/src/run/admin_call.rs
+++ b/crates/scale/src/run/admin_call.rs
@@ -9,7 +9,7 @@
 /// Timeout of the connection attempt and of each read.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends a command and returns the answer after `done`.
+/// Sends a command and returns the text that follows `done` in the answer.
 pub(super) fn call(address: SocketAddr, command: &str) -> Result<String, RunError> {
     let answer =
         exchange(address, command).map_err(|source| RunError::AdminCall { address, source })?;
--- a/crates/scale/src/run/cluster.rs
+++ b/crates/scale/src/run/cluster.rs
@@ -178,10 +178,10 @@
         }
     }
 
-    /// Polls the state of the real nodes; hollow nodes report it unasked.
+    /// Polls the state of the real nodes; hollow nodes report theirs without polling.
     pub(super) fn poll_real_nodes(&self) {
-        let running = self.real_nodes.iter().enumerate();
-        for (node, process) in running.filter(|(_, process)| process.is_running()) {
+        let real_nodes = self.real_nodes.iter().enumerate();
+        for (node, process) in real_nodes.filter(|(_, process)| process.is_running()) {
             let Ok(status) = ClusterStatus::request(process.admin_address()) else {
                 continue;
             };
@@ -234,7 +234,7 @@
         nodes.map(|node| self.reading(node, &memory_kb)).collect()
     }
 
-    /// Returns the resident memory of each hollow node, in the order of node numbers.
+    /// Returns the resident memory of each hollow node in kB, in the order of node numbers.
     fn hollow_memory_kb(&self) -> Vec<u64> {
         let hosts = self.hosts.iter();
         hosts
@@ -277,7 +277,7 @@
     std::env::temp_dir().join(name)
 }
 
-/// Returns the last lines of a node's log, in reverse order.
+/// Returns the last lines of a node's log, the last line first.
 fn log_tail(node: &NodeProcess) -> String {
     let log = std::fs::read_to_string(node.log_path()).unwrap_or_default();
     let lines: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINE_COUNT).collect();
--- a/crates/scale/src/run/host_process.rs
+++ b/crates/scale/src/run/host_process.rs
@@ -1,4 +1,4 @@
-//! The handle of a run to a process of hollow nodes.
+//! The handle by which a run controls a process of hollow nodes.
 
 use super::SharedProgress;
 use crate::error::RunError;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Records a process's reports until its output ends, which fails the run.
+/// Records a process's reports until its output ends, then records the end as a failure of the run.
 fn read_reports(output: ChildStdout, host: &str, progress: &SharedProgress) {
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         match serde_json::from_str::<NodeReport>(&line) {
--- a/crates/scale/src/run/measurement.rs
+++ b/crates/scale/src/run/measurement.rs
@@ -83,7 +83,7 @@
         unix_us().saturating_sub(self.started_unix_us) as f64 / US_PER_SECOND
     }
 
-    /// Converts the time of a report.
+    /// Converts the time of a report, in Unix microseconds, to the monotonic clock.
     fn instant_of(&self, at_us: u64) -> Instant {
         self.started_at + Duration::from_micros(at_us.saturating_sub(self.started_unix_us))
     }
@@ -139,7 +139,8 @@
         !self.is_voter(name) && name != self.leader
     }
 
-    /// Computes the cost of each role. The leader counts both as leader and as voter.
+    /// Computes the cost of each role. The leader counts both as leader and as voter; seeds, real nodes and hollow nodes
+    /// count only if they are not voters.
     pub(super) fn role_costs(
         &self,
         topology: &Topology,
@@ -174,7 +175,7 @@
 }
 
 impl Cluster<'_> {
-    /// Waits until a condition is met. Returns the unmet condition if that takes longer than `timeout`.
+    /// Waits until a condition is met and returns `None`, or returns the unmet condition after `timeout`.
     fn wait_for(
         &mut self,
         timeout: Duration,
@@ -186,7 +187,7 @@
         let mut polled_at: Option<Instant> = None;
         loop {
             self.check()?;
-            if polled_at.is_none_or(|at| at.elapsed() >= poll_interval) {
+            if polled_at.is_none_or(|time| time.elapsed() >= poll_interval) {
                 self.poll_real_nodes();
                 polled_at = Some(Instant::now());
             }
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Waits until a condition of readiness is met.
+    /// Waits until a condition is met; fails if it is not met within `timeout`.
     pub(super) fn wait_until_ready(
         &mut self,
         timeout: Duration,
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -17,9 +17,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Limit of the budget per node, in uses per second.
+/// Limit of the slow-start budget per node, in uses per second.
 const BUDGET_LIMIT_PER_NODE: u32 = 4;
-/// Total demand of all hollow nodes, as a ratio of the budget's limit per second.
+/// Total demand of all hollow nodes, as a ratio of the budget's limit per second: before the saturation, and
+/// during it.
 const IDLE_DEMAND_RATIO: f64 = 0.25;
 const SATURATED_DEMAND_RATIO: f64 = 3.0;
 /// Duration of the budget's saturation.
@@ -104,7 +105,7 @@
     Ok(clock.elapsed().as_secs_f64())
 }
 
-/// Waits until the number of voters is reduced, and returns the seconds since the start. All expected nodes bootstrap
+/// Waits until the number of voters is at most the maximum, and returns the seconds since the start. All expected nodes bootstrap
 /// the control group as voters, and become learners one by one.
 fn wait_until_voters_reduced(cluster: &mut Cluster, clock: &RunClock) -> Result<f64, RunError> {
     let remaining = settle_timeout(cluster).saturating_sub(clock.elapsed());
--- a/crates/scale/src/topology.rs
+++ b/crates/scale/src/topology.rs
@@ -11,19 +11,22 @@
 const CLUSTER_PORT: u16 = 7400;
 /// First port of the hollow nodes, which share one address, and of the proxies, which share another.
 const FIRST_PORT: u16 = 10_000;
+/// Last byte of the address in the settings that hollow nodes do not use, of the address of the proxies, and of the
+/// address of the hollow nodes.
 const UNUSED_HOST: u8 = 251;
 const PROXY_HOST: u8 = 252;
 const HOLLOW_HOST: u8 = 253;
 const ZONE_COUNT: usize = 3;
-/// Number of seeds: the first nodes.
+/// Number of seeds, which are the first nodes.
 pub const SEED_COUNT: usize = 3;
 /// Greater than the number of nodes, so that the node seeds of different runs differ.
 const NODE_SEED_MULTIPLIER: u64 = 1_000_003;
 
-/// All nodes of a run, by number: the real nodes come first, also in the order of names.
+/// All nodes of a run, numbered from 0. The real nodes have the lowest numbers, and their names precede those of the
+/// hollow nodes in alphabetical order.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// Number of real nodes: processes of the program.
+    /// Number of real nodes, each a process of the program.
     pub real_count: usize,
     /// Number of hollow nodes.
     pub hollow_count: usize,
@@ -36,7 +39,7 @@
 }
 
 impl Topology {
-    /// Number of all nodes.
+    /// Returns the number of all nodes.
     pub fn node_count(&self) -> usize {
         self.real_count + self.hollow_count
     }
--- a/crates/scale/tests/runs.rs
+++ b/crates/scale/tests/runs.rs
@@ -79,7 +79,7 @@
 /// In a cluster of 12 real and 8 hollow nodes, hollow nodes send as much as real nodes, within 25%, and the outcome is
 /// complete.
 #[test]
-fn a_hollow_node_costs_the_messages_of_a_real_one() {
+fn a_hollow_node_sends_as_much_as_a_real_node() {
     let outcome = run_cluster(&[
         "--nodes",
         "20",
@@ -99,7 +99,7 @@
         "the proxies attribute and decode all traffic"
     );
     let metric = |role: &str, name: &str| outcome["roles"][role][name].as_f64().unwrap();
-    // Any five nodes are the voters, so at least four of the nine real nodes that are not seeds, and three of the eight
+    // The five voters can be any nodes, so at least four of the nine real nodes that are not seeds, and three of the eight
     // hollow nodes, are not voters.
     for name in ["messages_per_s_mean", "bytes_out_per_s_mean"] {
         let (real, hollow) = (metric("node", name), metric("hollow-node", name));
@@ -192,7 +192,7 @@
         processes
     }
 
-    fn are_running(&self) -> bool {
+    fn is_any_running(&self) -> bool {
         let mut processes = self.real_nodes.iter().chain(&self.hosts);
         processes.any(|pid| is_running(*pid))
     }
@@ -223,7 +223,7 @@
         }
     }
     let deadline = Instant::now() + Duration::from_secs(30);
-    while processes.are_running() {
+    while processes.is_any_running() {
         assert!(Instant::now() < deadline, "{processes:?} still running");
         std::thread::sleep(Duration::from_millis(20));
     }
