--- a/crates/scale/src/counting_proxy/counters.rs
+++ b/crates/scale/src/counting_proxy/counters.rs
@@ -65,8 +65,8 @@
         read(&self.lost)
     }
 
-    /// Returns the number of datagrams of unknown senders, undecodable directions of streams, and streams that could not
-    /// be opened.
+    /// Returns the number of datagrams of unknown senders, undecodable directions of streams, and streams that could
+    /// not be opened.
     pub fn unknown(&self) -> u64 {
         read(&self.unknown)
     }
--- a/crates/scale/src/run/measurement.rs
+++ b/crates/scale/src/run/measurement.rs
@@ -139,8 +139,8 @@
         !self.is_voter(name) && name != self.leader
     }
 
-    /// Computes the cost of each role. The leader counts both as leader and as voter; seeds, real nodes and hollow nodes
-    /// count only if they are not voters.
+    /// Computes the cost of each role. The leader counts both as leader and as voter; seeds, real nodes and hollow
+    /// nodes count only if they are not voters.
     pub(super) fn role_costs(
         &self,
         topology: &Topology,
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -105,8 +105,8 @@
     Ok(clock.elapsed().as_secs_f64())
 }
 
-/// Waits until the number of voters is at most the maximum, and returns the seconds since the start. All expected nodes bootstrap
-/// the control group as voters, and become learners one by one.
+/// Waits until the number of voters is at most the maximum, and returns the seconds since the start. All expected
+/// nodes bootstrap the control group as voters, and become learners one by one.
 fn wait_until_voters_reduced(cluster: &mut Cluster, clock: &RunClock) -> Result<f64, RunError> {
     let remaining = settle_timeout(cluster).saturating_sub(clock.elapsed());
     let timeout = remaining.max(MIN_VOTER_TIMEOUT);
--- a/crates/scale/tests/runs.rs
+++ b/crates/scale/tests/runs.rs
@@ -99,8 +99,8 @@
         "the proxies attribute and decode all traffic"
     );
     let metric = |role: &str, name: &str| outcome["roles"][role][name].as_f64().unwrap();
-    // The five voters can be any nodes, so at least four of the nine real nodes that are not seeds, and three of the eight
-    // hollow nodes, are not voters.
+    // The five voters can be any nodes, so at least four of the nine real nodes that are not seeds, and three of the
+    // eight hollow nodes, are not voters.
     for name in ["messages_per_s_mean", "bytes_out_per_s_mean"] {
         let (real, hollow) = (metric("node", name), metric("hollow-node", name));
         assert!(
