--- a/crates/scale/src/counting_proxy/counters.rs
+++ b/crates/scale/src/counting_proxy/counters.rs
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Returns the number of datagrams dropped, and of delays added to stream chunks, by the proxies.
+    /// Returns the number of injected losses: datagrams dropped, and retransmission delays added to stream chunks.
     pub fn lost(&self) -> u64 {
         read(&self.lost)
     }
 
-    /// Returns the number of datagrams of unknown senders, undecodable directions of streams, and streams that could not
-    /// be opened.
+    /// Returns the number of datagrams of unknown senders, undecodable directions of streams, and streams that could
+    /// not be opened.
     pub fn unknown(&self) -> u64 {
         read(&self.unknown)
     }
