--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 /// Request numbers start at the start count shifted left by this many bits, so that each process uses higher numbers
-/// than earlier processes of its incarnation. At one request per renewal, the numbers between two starts last for
+/// than earlier processes of its incarnation. At one request per renewal, the 2^32 numbers of a process last for
 /// years.
 const START_COUNT_SHIFT: u32 = 32;
 /// The maximum number of past leases to keep. Beyond it, the oldest is merged into the next one.
@@ -29,7 +29,7 @@
 }
 
 impl GrantedLease {
-    /// Returns true if usage under this lease may still count.
+    /// Returns true if usage under this lease may still lie within the accounting window.
     fn counts_at(&self, now: Timestamp, terms: &LeaseTerms) -> bool {
         now.saturating_duration_since(self.ends_at) < terms.accounting_window
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The highest limit under which usage may still count.
+    /// The highest limit of the leases under which usage may still lie within the accounting window.
     fn max_in_use(&self, terms: &LeaseTerms, now: Timestamp) -> u32 {
         // An expired lease stays the current one until another is granted, and counts for one accounting window after
         // its end.
--- a/crates/control/tests/schedules.rs
+++ b/crates/control/tests/schedules.rs
@@ -230,10 +230,10 @@
             .restart_identity(identity)
             .start();
         simulation.run(Duration::from_secs(10));
-        // The other nodes divide the lease of the isolated node ...
+        // The other nodes divide the lease of the isolated node.
         simulation.isolate(2);
         simulation.run(Duration::from_secs(7));
-        // ... then one of them restarts without stored state on the same side of a partition as that node.
+        // One of them restarts without stored state, on the same side of a partition as that node.
         simulation.inject(&Fault::Heal);
         simulation.isolate(0);
         simulation.inject(&Fault::RestartWithoutState(1));
--- a/crates/node/src/client/connection.rs
+++ b/crates/node/src/client/connection.rs
@@ -138,8 +138,9 @@
                 reading.received.extend_from_slice(bytes);
                 self.on_first_line_bytes(context)
             }
-            // Clients must not send anything else before the answer, and no server could parse it. Guards against
-            // clients that send hundreds of commands at once, and against blaming a server that closes because of them.
+            // A client must not send anything after its first line until it is answered; no server could parse such
+            // bytes. Guards against clients that send hundreds of commands at once, and against counting it as the
+            // server's failure if the server closes the connection because of them.
             State::Waiting(_) => {
                 self.abandon_request(context);
                 self.reject_line(context, FirstLineError::MultipleLines)
--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -20,7 +20,7 @@
 /// If more than one in this many of the servers in use seem unresponsive, none of them is reported: this node itself
 /// is then assumed to be cut off.
 const MAX_UNRESPONSIVE_DIVISOR: usize = 2;
-/// A delay is slow if it exceeds the shortest message objective divided by this.
+/// A delay is slow if it exceeds the shortest message latency objective divided by this.
 const SLOW_DELAY_DIVISOR: u32 = 3;
 
 /// Loads are reported in microseconds of work per second.
--- a/crates/node/src/upstream/relay.rs
+++ b/crates/node/src/upstream/relay.rs
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Returns true if bytes of this side may be read: it has not ended, and not too much of it is pending.
+    /// Returns true if bytes may be read from this side: it has not ended its stream, and fewer than
+    /// `max_pending_bytes` of its bytes wait to be forwarded.
     fn can_read(&self, side: Side) -> bool {
         let buffer = match side {
             Side::Client => &self.to_server,
--- a/crates/placement/src/api/settings.rs
+++ b/crates/placement/src/api/settings.rs
@@ -79,16 +79,16 @@
     pub slow_start_duration: Duration,
     /// The minimum fraction of its full capacity that a server has at its start, 0 to 1.
     pub initial_capacity_ratio: f64,
-    /// A server that is warming up fails from overload at this multiple of its present capacity ...
+    /// The multiple of its present capacity at which a server that is warming up fails from overload.
     pub overload_factor: f64,
-    /// ... if the load lasts for this long.
+    /// The time for which such a load must last before the server fails.
     pub overload_window: Duration,
     /// The longest `Retry-After` that clients obey; zero if they are sent none.
     pub max_retry_after: Duration,
 }
 
 impl Settings {
-    /// Returns the shortest message objective of any class, or zero if no class has one.
+    /// Returns the shortest message latency objective of any class, or zero if no class has one.
     pub fn min_message_objective(&self) -> Duration {
         self.classes
             .iter()
--- a/crates/placement/src/balancer.rs
+++ b/crates/placement/src/balancer.rs
@@ -34,7 +34,7 @@
 /// The balancer of one node.
 pub struct Balancer {
     pub(crate) settings: Settings,
-    /// The shortest message objective of any class.
+    /// The shortest message latency objective of any class.
     pub(crate) min_message_objective: Duration,
     pub(crate) jitter_rng: Pcg32,
     /// Separate from `jitter_rng`, so that neither affects the numbers of the other.
--- a/crates/placement/src/limits/concurrency_limit.rs
+++ b/crates/placement/src/limits/concurrency_limit.rs
@@ -11,11 +11,11 @@
 pub(crate) const OVERLOAD_MEMORY: Duration = Duration::from_secs(4);
 /// Lower bound of a limit, as a fraction of the fair load.
 const MIN_LIMIT_RATIO: f64 = 0.1;
-/// A limit rises by this fraction of the fair load per second ...
+/// A limit rises by this fraction of the fair load per second, times one of the two factors below.
 const LIMIT_RISE_PER_SECOND: f64 = 0.01;
-/// ... times this factor within [`OVERLOAD_MEMORY`] of the last overload ...
+/// The factor within [`OVERLOAD_MEMORY`] of the last overload.
 const RECENT_OVERLOAD_RISE_FACTOR: f64 = 0.5;
-/// ... and times this factor after that.
+/// The factor at other times.
 const DEFAULT_RISE_FACTOR: f64 = 2.0;
 /// A limit does not rise until the last overload is more than this many upkeep intervals old.
 const RISE_DELAY_INTERVALS: u32 = 2;
--- a/crates/placement/src/limits/setup_window.rs
+++ b/crates/placement/src/limits/setup_window.rs
@@ -12,9 +12,9 @@
 
 /// Initial window, summed over all nodes.
 const INITIAL_FLEET_WINDOW: f64 = 24.0;
-/// Minimum window, summed over all nodes ...
+/// Minimum window, summed over all nodes.
 const MIN_FLEET_WINDOW: f64 = 6.0;
-/// ... and of each node.
+/// Minimum window of each node.
 const MIN_NODE_WINDOW: f64 = 0.05;
 const SHRINK_FACTOR: f64 = 0.7;
 /// Minimum time between two reductions of the window.
@@ -27,7 +27,7 @@
 /// Weight of one setup in the mean duration.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Weight of one failed setup in the mean duration.
-const TIMEOUT_WEIGHT: f64 = 0.2;
+const FAILED_SETUP_WEIGHT: f64 = 0.2;
 /// The quick setup duration is a moving estimate that falls quickly after a quicker setup and rises slowly after
 /// others.
 const QUICK_SETUP_FALL_WEIGHT: f64 = 0.3;
@@ -118,7 +118,7 @@
         rng: &mut Pcg32,
     ) {
         let excess = setup_duration.as_secs_f64() - self.mean_setup_seconds;
-        self.mean_setup_seconds += TIMEOUT_WEIGHT * excess.max(0.0);
+        self.mean_setup_seconds += FAILED_SETUP_WEIGHT * excess.max(0.0);
         self.shrink(now, rng);
     }
 
--- a/crates/placement/src/policy/rejection.rs
+++ b/crates/placement/src/policy/rejection.rs
@@ -13,7 +13,8 @@
     min_ratio: 0.25,
     spread_ratio: 0.5,
 };
-/// For a request that used all its attempts: the fleet is unlikely to recover within a moment, so the wait is longer.
+/// The range for a request that has used all its attempts. The wait is longer, since the fleet is unlikely to recover
+/// within a moment.
 const RETRY_AFTER_ALL_ATTEMPTS: RetryAfterRange = RetryAfterRange {
     min_ratio: 0.6,
     spread_ratio: 0.4,
--- a/crates/placement/src/recovery/ejection.rs
+++ b/crates/placement/src/recovery/ejection.rs
@@ -5,13 +5,14 @@
 
 /// Consecutive failures that eject a server.
 pub(crate) const EJECTION_FAILURES: u32 = 2;
-/// The duration of the first ejection; each further one lasts twice as long ...
+/// The duration of the first ejection. Each further one lasts twice as long as the one before.
 const EJECTION_BASE_DURATION: Duration = Duration::from_secs(1);
-/// ... up to this duration.
+/// The upper bound of the duration, before the random factor.
 const MAX_EJECTION_DURATION: Duration = Duration::from_secs(8);
 const MAX_DURATION_DOUBLINGS: u32 = 3;
-/// The duration is multiplied by a random factor of this range.
+/// The minimum of the random factor by which the duration is multiplied.
 const MIN_JITTER_FACTOR: f64 = 0.75;
+/// The width of the range of this factor.
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
 #[derive(Default)]
--- a/crates/placement/src/recovery/key_redistribution.rs
+++ b/crates/placement/src/recovery/key_redistribution.rs
@@ -15,9 +15,9 @@
 const MAX_SERVERS: usize = 200;
 /// Fraction by which the usual weight of all servers approaches the present one each second.
 const USUAL_WEIGHT_ADAPTATION: f64 = 0.02;
-/// Keys are redistributed once this fraction of the usual weight is lost at once and without notice ...
+/// Redistribution of keys starts if more than this fraction of the usual weight is lost at once and without notice.
 const MIN_LOST_RATIO: f64 = 0.2;
-/// ... for as long as less than this fraction of the usual capacity remains.
+/// Keys are redistributed only while less than this fraction of the usual capacity remains.
 const MAX_REMAINING_RATIO: f64 = 0.75;
 /// The minimum capacity of a server, in connections of all nodes: a node that has just started, or one of a hundred,
 /// cannot recognize an idle fleet.
--- a/crates/placement/src/recovery/load_shedding.rs
+++ b/crates/placement/src/recovery/load_shedding.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A connection that was established less than this long ago is not migrated, ...
+/// Minimum age of a connection that may be migrated.
 const MIN_CONNECTION_AGE: Duration = Duration::from_secs(2);
-/// ... or less than this, if its client reconnected after a break or a migration.
+/// The same minimum if the client reconnected after a break or a migration.
 const MIN_RECONNECTED_AGE: Duration = Duration::from_secs(8);
 /// The migrated load may exceed the excess load by this factor.
 const MAX_EXCESS_FACTOR: f64 = 1.5;
--- a/crates/placement/src/recovery/migration_budget.rs
+++ b/crates/placement/src/recovery/migration_budget.rs
@@ -1,8 +1,8 @@
 //! The budget for migrations, which bounds the number of clients that are asked to reconnect at once.
 
-/// At most this fraction of the connections may be migrated per second ...
+/// The allowed migrations per second, as a fraction of the connections.
 const MIGRATED_RATIO_PER_SECOND: f64 = 0.15;
-/// ... and up to this fraction is saved up.
+/// Unused migrations are saved up to this fraction of the connections.
 const SAVED_RATIO: f64 = 0.3;
 
 /// The migrations that are allowed.
--- a/crates/placement/src/recovery/outlier_detection.rs
+++ b/crates/placement/src/recovery/outlier_detection.rs
@@ -116,9 +116,9 @@
         self.record_failure(now, slot, failure, actions);
     }
 
-    /// Handles a dropped connection. A single one may be the network's fault. If several are dropped at once, the
-    /// overloaded server drops them to keep the rest; if none is left, the server has failed although it is still
-    /// listed.
+    /// Handles a dropped connection. A single drop may be a network fault and is ignored if other connections remain.
+    /// If several are dropped at once, the server is overloaded and sheds load. If none remains, the server has failed
+    /// although the endpoint list still contains it.
     fn on_connection_dropped(&mut self, now: Timestamp, slot: ServerSlot, actions: &mut Actions) {
         let Some(server) = self.fleet.servers.get_mut(slot) else {
             return;
--- a/crates/placement/src/state/candidate_scan.rs
+++ b/crates/placement/src/state/candidate_scan.rs
@@ -6,7 +6,7 @@
 /// A server offered to a scan.
 #[derive(Clone, Copy)]
 struct ScannedServer {
-    /// Whether it ranks above the start, so that the walk reaches it only after wrapping around.
+    /// Whether the server ranks above the start of the walk, which therefore reaches it only after wrapping around.
     is_wrapped: bool,
     server: RankedServer,
 }
--- a/crates/placement/tests/failures/overload.rs
+++ b/crates/placement/tests/failures/overload.rs
@@ -69,8 +69,8 @@
     assert!(remaining_groups.len() < before.len());
 }
 
-/// Guards against groups spread over too many servers: 214 groups made 1,799 pairs of group and server, and a server
-/// does as much shared work for a few connections of a group as for many.
+/// Guards against groups spread over too many servers: the connections of 214 groups formed 1,799 pairs of group and
+/// server, and a server does as much shared work for a few connections of a group as for many.
 #[test]
 fn small_parts_of_groups_are_shed_before_large_ones() {
     // Four groups of one connection and six of ten.
--- a/crates/placement/tests/rules.rs
+++ b/crates/placement/tests/rules.rs
@@ -304,7 +304,8 @@
             placed >= 15,
             "{placed} of 20 placed with {node_count} nodes"
         );
-        // The endpoint list shrinks to one server after a drain. Rejections after a loss are tested in fleet.rs.
+        // The endpoint list shrinks to one server after a drain. Rejections after the loss of a zone are tested in
+        // fleet.rs.
         harness.change_endpoint(Endpoint {
             health: Health::Draining,
             ..endpoint("a")
