--- a/crates/control/src/control_node/mod.rs
+++ b/crates/control/src/control_node/mod.rs
@@ -183,7 +183,7 @@
     /// A leader, and a node that bootstraps a group, needs connections to all live members.
     pub fn desired_connections(&self) -> BTreeSet<MemberId> {
         let mut desired = match self.log() {
-            Some(log) => self.desired_by_member(log),
+            Some(log) => self.desired_as_member(log),
             None if self.has_lowest_name() => self.live_members.keys().copied().collect(),
             None => BTreeSet::new(),
         };
@@ -191,7 +191,7 @@
         desired
     }
 
-    fn desired_by_member(&self, log: &RaftLog) -> BTreeSet<MemberId> {
+    fn desired_as_member(&self, log: &RaftLog) -> BTreeSet<MemberId> {
         if log.is_leader() || self.bootstrap_progress.is_announcing() {
             return self.live_members.keys().copied().collect();
         }
--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -44,8 +44,8 @@
     requested_at: Option<Timestamp>,
     current: Option<GrantedLease>,
     past: VecDeque<GrantedLease>,
-    /// No request is made before this time: the usage of an earlier process of this incarnation still counts, and
-    /// would add to the usage of this process.
+    /// No request is made before this time: until then, the usage of an earlier process that ran as this incarnation
+    /// still counts, and would add to the usage of this process.
     first_request_at: Option<Timestamp>,
     /// Whether lease and floor were released permanently.
     is_retired: bool,
--- a/crates/control/src/raft_log/mod.rs
+++ b/crates/control/src/raft_log/mod.rs
@@ -78,7 +78,7 @@
     pub(crate) storage: LogStorage,
     /// The state of the snapshot in `storage`.
     pub(crate) state: ClusterState,
-    /// The log of the member's previous group. Its log lines are kept, and the numbering of writes continues.
+    /// The log of the member's previous group. Its printed log lines are kept, and its numbering of writes continues.
     pub(crate) former: Option<Box<RaftLog>>,
     pub(crate) durability: Durability,
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -49,7 +49,7 @@
     /// The control group that the node has joined.
     #[serde(rename = "stamp")]
     pub cluster_id: Option<ClusterId>,
-    /// The number of entries applied to the state.
+    /// The number of entries applied to the state. Unrelated to the epoch in `cluster_id`.
     pub epoch: u64,
     /// The current Raft term.
     pub term: u64,
--- a/crates/control/tests/model/system.rs
+++ b/crates/control/tests/model/system.rs
@@ -1,4 +1,4 @@
-//! The states and events of the search.
+//! The states and events that the model checker explores.
 
 use lupincrank_control::entry::Grant;
 use lupincrank_control::lease::{GrantClocks, LeaseHolder, LeaseRequest};
@@ -80,7 +80,7 @@
     pub fault_count: u8,
 }
 
-/// Events of the search. Holders and messages are identified by index.
+/// Events that the model checker explores. Holders and messages are identified by index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     AdvanceTime,
--- a/crates/control/tests/sim/builder.rs
+++ b/crates/control/tests/sim/builder.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum RestartIdentity {
     New,
-    /// A mutant that the tests must detect.
+    /// Deliberately wrong (a mutant), to show that the tests detect it.
     Reused,
 }
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum WriteReport {
     WhenSynced,
-    /// A mutant that the tests must detect.
+    /// Deliberately wrong (a mutant), to show that the tests detect it.
     BeforeSynced,
 }
 
--- a/crates/fault-injection/src/harness/cluster_status.rs
+++ b/crates/fault-injection/src/harness/cluster_status.rs
@@ -8,27 +8,27 @@
 /// The reason why the cluster does not meet a convergence goal yet.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub(crate) enum NotConverged {
-    #[error("{node} says nothing")]
+    #[error("{node} reports no status")]
     NoStatus { node: String },
-    #[error("{node} counts {counted} living nodes of {running}")]
+    #[error("{node} counts {counted} live nodes, expected {running}")]
     Membership {
         node: String,
         counted: usize,
         running: usize,
     },
-    #[error("{node} counts {leased} taken of {limit}")]
+    #[error("{node} counts {leased} leased units, above the limit of {limit}")]
     LeasedAboveLimit {
         node: String,
         leased: f64,
         limit: f64,
     },
-    #[error("{node} counts only {leased} taken of {limit}")]
+    #[error("{node} counts only {leased} of {limit} units as leased")]
     LeasedBelowMinimum {
         node: String,
         leased: f64,
         limit: f64,
     },
-    #[error("leaders are {}", leaders.join(", "))]
+    #[error("nodes must agree on one leader, but report: {}", leaders.join(", "))]
     Leaders { leaders: Vec<String> },
 }
 
--- a/crates/node/src/client/first_line.rs
+++ b/crates/node/src/client/first_line.rs
@@ -77,7 +77,7 @@
     pub(super) load: Option<Duration>,
 }
 
-/// How long a client waits for its connection, and the position of this field in the line.
+/// The time that a client waits for its connection, and the position of its digits in the line.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct TimeBudget {
     /// The duration.
@@ -87,7 +87,7 @@
 }
 
 impl FirstLine {
-    /// Parses a complete first line, including its terminator. `names` are those of the settings.
+    /// Parses a complete first line, including its terminator. `names` are the names in the settings.
     ///
     /// # Errors
     /// If the line is not properly terminated or is malformed.
@@ -133,7 +133,7 @@
         })
     }
 
-    /// The request for placement. `has_groups`: the subject is a group rather than a key.
+    /// Returns the request for placement. If `has_groups` is true, the subject is a group, otherwise a key.
     pub(super) fn request_info(&self, has_groups: bool) -> RequestInfo {
         let subject = self.subject.clone();
         let flow = Some(self.flow.clone());
--- a/crates/node/src/discovery/endpoint_resolver.rs
+++ b/crates/node/src/discovery/endpoint_resolver.rs
@@ -13,7 +13,7 @@
 }
 
 impl EndpointResolver {
-    /// Creates a resolver with the names of the settings. Further names are added when an entry contains them.
+    /// Creates a resolver with the zones and machine kinds in the settings. Others are added when an entry names them.
     pub(super) fn new(config: &Config) -> EndpointResolver {
         EndpointResolver {
             zones: config.zones.clone(),
--- a/crates/node/src/graceful_shutdown.rs
+++ b/crates/node/src/graceful_shutdown.rs
@@ -21,7 +21,7 @@
 const MIGRATION_START_BEFORE_EXIT: Duration = Duration::from_millis(1400);
 /// Migration ends this long before the process exits.
 const MIGRATION_END_BEFORE_EXIT: Duration = Duration::from_millis(400);
-/// Connections without a first line are answered too once the exit is at most this far away.
+/// From this long before the process exits, connections without a complete first line are answered too.
 const LAST_ANSWERS_BEFORE_EXIT: Duration = Duration::from_millis(150);
 /// The interval between two steps of the migration.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/node/src/handoff/runtime_files.rs
+++ b/crates/node/src/handoff/runtime_files.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Extension that is replaced by that of each file. The file name contains the dots of an IP address; without this
-/// extension, `with_extension` would replace the text after the last dot of the address.
+/// Placeholder that `with_extension` replaces by the extension of each file. Without it, `with_extension` would replace
+/// the text after the last dot of the IP address in the file name.
 const PLACEHOLDER_EXTENSION: &str = "node";
 
 /// The paths of the shared files, which are named after the client address.
--- a/crates/node/src/placement_driver/latency.rs
+++ b/crates/node/src/placement_driver/latency.rs
@@ -17,8 +17,8 @@
 /// and have waited [`UNRESPONSIVE_SERVER_TIMEOUT`] for an answer.
 const MIN_UNANSWERED_CONNECTIONS: usize = 2;
 const UNRESPONSIVE_SERVER_TIMEOUT: Duration = Duration::from_millis(500);
-/// If more than one in this many of the servers in use seem unresponsive, none of them is reported: this node itself
-/// is then assumed to be cut off.
+/// If more than 1/`MAX_UNRESPONSIVE_DIVISOR` of the servers in use seem unresponsive, none of them is reported: this
+/// node itself is then assumed to be cut off.
 const MAX_UNRESPONSIVE_DIVISOR: usize = 2;
 /// A delay is slow if it exceeds the shortest message objective divided by this.
 const SLOW_DELAY_DIVISOR: u32 = 3;
@@ -211,10 +211,10 @@
 
     /// Records the setup time of a connection that was established at this server.
     pub(super) fn record_setup(&mut self, server: Option<ServerId>, setup_duration: Duration) {
-        let wait = self.setup_times.record(setup_duration);
-        if let (Some(server), Some(wait)) = (server, wait) {
+        let queueing_time = self.setup_times.record(setup_duration);
+        if let (Some(server), Some(queueing_time)) = (server, queueing_time) {
             let latency = self.latencies.entry(server).or_default();
-            latency.record_setup_wait(wait);
+            latency.record_setup_wait(queueing_time);
         }
     }
 
--- a/crates/placement/src/limits/message_delays.rs
+++ b/crates/placement/src/limits/message_delays.rs
@@ -8,7 +8,7 @@
 use crate::{RequestId, Timestamp};
 use std::time::Duration;
 
-/// Above `min_ratio` of delay to objective, a server retains `retained_ratio` of its load.
+/// If the ratio of delay to objective is above `min_ratio`, a server is limited to `retained_ratio` of its load.
 struct DelayTier {
     min_ratio: f64,
     retained_ratio: f64,
--- a/crates/placement/src/recovery/outlier_detection.rs
+++ b/crates/placement/src/recovery/outlier_detection.rs
@@ -15,7 +15,7 @@
 const MAX_EJECTED_RATIO: f64 = 0.5;
 /// Established connections that break at a server within this time of each other were dropped by the server.
 const DROPPED_TOGETHER_WINDOW: Duration = Duration::from_secs(1);
-/// The fraction of its load that a server retains after it rejected an attempt or dropped connections.
+/// The fraction of its present load to which a server is limited after it rejected an attempt or dropped connections.
 const OVERLOAD_RETAINED_RATIO: f64 = 0.9;
 
 /// A kind of failure of a server.
--- a/crates/placement/tests/failures/load_report_admission.rs
+++ b/crates/placement/tests/failures/load_report_admission.rs
@@ -120,7 +120,8 @@
     );
 }
 
-/// Guards against groups that are spread over all servers, because each server reports capacity for a few connections.
+/// Guards against groups that are spread over all servers: capacity for only a few connections, as a server reports it,
+/// is reserved for groups that the server already serves.
 #[test]
 fn little_reported_capacity_is_left_to_groups_already_on_the_server() {
     let mut harness = with_established_connections(reporting_settings(), &SERVERS, 120, 30);
--- a/crates/placement/tests/rules.rs
+++ b/crates/placement/tests/rules.rs
@@ -270,11 +270,11 @@
         harness.deliver(Event::TimerFired(timer));
         assert_eq!(harness.last_actions, vec![Action::WatchEndpoints]);
     }
-    let automatic = Settings {
+    let watch_not_required = Settings {
         requires_endpoint_watch: false,
         ..settings(RetrySafety::Idempotent)
     };
-    let mut harness = Harness::new(automatic, 1);
+    let mut harness = Harness::new(watch_not_required, 1);
     assert!(!harness.last_actions.contains(&Action::WatchEndpoints));
     harness.deliver(Event::EndpointWatchFailed);
     assert_eq!(harness.last_actions, vec![]);
--- a/crates/placement/tests/slow_start_groups.rs
+++ b/crates/placement/tests/slow_start_groups.rs
@@ -22,12 +22,12 @@
 /// The age of the servers in slow start when the warm ones become overloaded.
 const WARMING_AGE_MS: u64 = 8_000;
 const OVERLOAD_MS: u64 = 4_000;
-/// The maximum duration of a connection setup.
+/// The time step, which is also the maximum duration of a connection setup.
 const STEP_MS: u64 = 10;
 /// The minimum and maximum time between the loss of a connection and the client's reconnect.
 const MIN_RECONNECT_DELAY_MS: u64 = 20;
 const MAX_RECONNECT_DELAY_MS: u64 = 1_900;
-/// An overloaded server accepts one in this number of new connections.
+/// An overloaded server accepts one in `CONNECTIONS_PER_ACCEPTED` new connections.
 const CONNECTIONS_PER_ACCEPTED: u64 = 4;
 /// The interval at which the warm servers, one after another, drop half of their connections.
 const DROP_INTERVAL_MS: u64 = 200;
--- a/crates/placement/tests/unlisted_waves.rs
+++ b/crates/placement/tests/unlisted_waves.rs
@@ -95,7 +95,7 @@
     ..SMALL_FLEET
 };
 
-/// The same fraction of the warm servers is lost as in the small fleet, after nodes have accumulated attempts.
+/// Loses the same fraction of its warm servers as `SMALL_FLEET`, after nodes have accumulated unused attempts.
 const MOST_SERVERS_LOST: Scenario = Scenario {
     lost_servers: 12,
     warming_servers: 3,
