--- a/crates/fault-injection/src/harness/mod.rs
+++ b/crates/fault-injection/src/harness/mod.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Event {
     pub(crate) at: Instant,
-    /// The same time by the wall clock, for comparison with the nodes' logs.
+    /// The time `at` by the wall clock, for comparison with the nodes' logs.
     pub(crate) wall_clock: SystemTime,
     pub(crate) kind: EventKind,
     pub(crate) text: String,
--- a/crates/node/src/client/listener.rs
+++ b/crates/node/src/client/listener.rs
@@ -14,7 +14,7 @@
 
 /// How long accepting pauses when the process has no file descriptor left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// The same pause while the process exits, when little time is left.
+/// How long accepting pauses without a free file descriptor while the process exits, when little time is left.
 const EXIT_ACCEPT_BACKOFF: Duration = Duration::from_millis(2);
 
 /// Accepts clients.
--- a/crates/node/tests/health_checks.rs
+++ b/crates/node/tests/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks: if the settings allow them, a server is checked before a request is sent there, and its load report
-//! counts.
+//! Tests of health checks: if the settings allow them, the node checks a server before it sends a request there, and
+//! uses the load report in the answer.
 
 mod common;
 use common::{wait_until, LineStream, Rig};
--- a/crates/node/tests/races.rs
+++ b/crates/node/tests/races.rs
@@ -224,7 +224,8 @@
     );
 }
 
-/// The same limit of 6 s holds if discovery accepts the first call and never answers it, with few nodes or many.
+/// A change must be applied at most 6 s after the last byte of a silent watch, even if discovery never answers the
+/// first call, with few nodes or many.
 #[rstest]
 fn a_change_behind_a_silent_watch_is_applied_in_time_though_a_call_is_never_answered(
     #[values(2, 300)] nodes: u32,
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -18,10 +18,10 @@
     since_epoch.as_millis() as u64
 }
 
-/// The list that reports the start of a server to the node.
+/// The answer of discovery from which the node learns that a server has started.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReportedIn {
-    /// A change on an open watch.
+    /// A change sent on an open watch.
     Watch,
     /// The first list, with a `Date` header as HTTP requires it of a service that has a clock.
     DatedFirstList,
@@ -31,8 +31,8 @@
     UndatedFirstListWithAnother,
 }
 
-/// Returns the number of requests that go to a server reported in this list, `age` after its start, if the node's wall
-/// clock is this far ahead from the node's start on.
+/// Returns the number of requests that go to a server that is reported `age` after its start, if the node's wall clock
+/// is ahead by `clock_offset_seconds` from the node's start on.
 fn requests_to_starting_server(
     reported_in: ReportedIn,
     clock_offset_seconds: i64,
@@ -121,7 +121,8 @@
     );
 }
 
-/// A wrong clock at the node's start, if discovery sends no `Date` header, so that no input contradicts the clock.
+/// The node's clock is wrong from its start on, and discovery sends no `Date` header, so no input contradicts the
+/// clock.
 #[rstest]
 fn a_server_of_an_undated_first_list_is_in_slow_start_too(
     #[values(3600, 30, -3600, -30)] clock_offset_seconds: i64,
@@ -133,7 +134,8 @@
     );
 }
 
-/// A wrong clock and no `Date` header, if most servers started at the same time, as after a power failure.
+/// The node's clock is wrong, discovery sends no `Date` header, and most servers started at the same time, as after a
+/// power failure.
 #[rstest]
 fn servers_of_an_undated_first_list_that_started_together_are_in_slow_start(
     #[values(3600, 30)] clock_offset_seconds: i64,
--- a/crates/placement/src/recovery/load_shedding.rs
+++ b/crates/placement/src/recovery/load_shedding.rs
@@ -10,7 +10,7 @@
 
 /// Minimum age of a connection that may be migrated.
 const MIN_CONNECTION_AGE: Duration = Duration::from_secs(2);
-/// The same minimum if the client reconnected after a break or a migration.
+/// Minimum age of a connection that may be migrated, if its client reconnected after a break or a migration.
 const MIN_RECONNECTED_AGE: Duration = Duration::from_secs(8);
 /// The migrated load may exceed the excess load by this factor.
 const MAX_EXCESS_FACTOR: f64 = 1.5;
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -174,7 +174,7 @@
 /// Guards against uneven load after a zone loss: one of four remaining servers got 65 of 144 connections and failed
 /// from overload, then the others in turn.
 #[test]
-fn the_survivors_of_a_zone_loss_get_what_they_can_carry() {
+fn the_remaining_servers_after_a_zone_loss_get_load_within_their_capacity() {
     let usual = CLIENT_COUNT as f64 / f64::from(SERVER_COUNT);
     for (seed, list_delay) in [(1, 2_000), (2, 2_000), (3, 500)] {
         let connections_by_second = ZoneLoss::new(seed).run(list_delay);
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -33,7 +33,7 @@
     NodeEnded {
         /// The node.
         node: String,
-        /// Its exit status.
+        /// The exit status of the process.
         status: String,
         /// The last lines of its log.
         log: String,
@@ -80,7 +80,7 @@
     /// A node did not answer an admin command.
     #[error("admin command to {address} failed")]
     AdminCall {
-        /// Its admin address.
+        /// The admin address of the node.
         address: SocketAddr,
         /// The reason.
         source: io::Error,
@@ -88,9 +88,9 @@
     /// A node rejected an admin command.
     #[error("{address} rejected the admin command: {answer}")]
     AdminCommandFailed {
-        /// Its admin address.
+        /// The admin address of the node.
         address: SocketAddr,
-        /// Its answer.
+        /// The answer of the node.
         answer: String,
     },
     /// The cluster did not become ready in time.
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -56,7 +56,7 @@
     RealCount {
         /// The number.
         count: usize,
-        /// Its bound.
+        /// The upper bound.
         max: usize,
     },
     /// The number of expected nodes is out of bounds.
@@ -64,7 +64,7 @@
     ExpectedCount {
         /// The number.
         count: usize,
-        /// Its bound.
+        /// The upper bound.
         max: usize,
     },
     /// A number of seconds is out of bounds.
@@ -72,9 +72,9 @@
     Seconds {
         /// The option.
         option: &'static str,
-        /// Its value.
+        /// The value of the option.
         seconds: f64,
-        /// Its bound.
+        /// The upper bound.
         max: f64,
     },
     /// The loss ratio is out of bounds.
--- a/crates/scale/src/run/host_process.rs
+++ b/crates/scale/src/run/host_process.rs
@@ -70,7 +70,8 @@
     }
 }
 
-/// Records a process's reports until its output ends, then records the end as a failure of the run.
+/// Records the reports that a process of hollow nodes writes. The end of its output means that the process exited,
+/// which is recorded as a failure of the run.
 fn read_reports(output: ChildStdout, host: &str, progress: &SharedProgress) {
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         match serde_json::from_str::<NodeReport>(&line) {
--- a/crates/scale/src/topology.rs
+++ b/crates/scale/src/topology.rs
@@ -109,8 +109,8 @@
         Ok(config)
     }
 
-    /// Creates the operator's file of a real node, or of all hollow nodes, whose address and zone are in their
-    /// environment.
+    /// Creates the operator's file of a real node, which contains the node's address and zone. Without `real_node`,
+    /// creates the file shared by all hollow nodes, each of which reads its address and zone from its environment.
     pub fn operator_file(&self, real_node: Option<usize>) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -75,7 +75,7 @@
     FaultStep(u32, u32),
     /// A fault ends.
     FaultEnds(u32),
-    /// A draining server sends one client away.
+    /// A draining server asks one client to reconnect.
     DrainClient(u32, Incarnation),
     /// A server terminates.
     ServerStops(u32, Incarnation),
--- a/crates/simulator/src/experiments/mod.rs
+++ b/crates/simulator/src/experiments/mod.rs
@@ -17,9 +17,9 @@
     pub service: f64,
     /// Fraction of the demand that was served within its objectives, weighted by class.
     pub whole: f64,
-    /// The same fraction in the worst 10 s.
+    /// Fraction served within its objectives in the worst 10 s.
     pub worst_window: f64,
-    /// The same fraction for the worst class.
+    /// Fraction served within its objectives for the worst class.
     pub worst_class: f64,
     /// Relative spread of the servers' utilization.
     pub imbalance: f64,
--- a/crates/simulator/src/experiments/search.rs
+++ b/crates/simulator/src/experiments/search.rs
@@ -20,7 +20,7 @@
 pub struct Candidate {
     /// The scenario, with its seed under `found`.
     pub scenario: Scenario,
-    /// Service score of the best baseline less that of the placement module, plus 2 if the module broke a rule.
+    /// Service score of the best baseline less that of the placement module, plus 2 if the module violated a rule.
     pub gap: f64,
 }
 
@@ -34,6 +34,7 @@
     let (against, against_service) = services
         .max_by(|a, b| a.1.total_cmp(&b.1))
         .unwrap_or((PolicyName::Module, module.service));
+    // `times_broken` counts rule violations.
     let violation_penalty = if module.times_broken > 0 { 2.0 } else { 0.0 };
     let gap = against_service - module.service + violation_penalty;
     let service = module.service;
--- a/crates/simulator/src/metrics.rs
+++ b/crates/simulator/src/metrics.rs
@@ -33,7 +33,7 @@
     pub cross_zone_attempts: u64,
     /// Migrations that nodes asked for.
     pub migrations: u64,
-    /// Clients that a draining server sent away.
+    /// Clients that a draining server asked to reconnect.
     pub drained_clients: u64,
     /// Connections that were broken.
     pub broken_connections: u64,
@@ -136,7 +136,7 @@
     pub service: f64,
     /// Fraction of the whole demand that was served well, weighted by worth.
     pub whole: f64,
-    /// The same fraction in the worst 10 s.
+    /// Fraction of the demand that was served well in the worst 10 s.
     pub worst_window: f64,
     /// The fraction served well of the worst class.
     pub worst_class: f64,
@@ -144,7 +144,7 @@
     pub taken_off: f64,
     /// The violations of rules that are reported in full.
     pub rules_broken: Vec<Violation>,
-    /// The number of all violations.
+    /// The number of all rule violations.
     pub times_broken: u64,
     /// Events handled.
     pub events: u64,
@@ -180,7 +180,7 @@
     pub timed_out: u64,
     /// Connections that were broken.
     pub cut: u64,
-    /// Clients that draining servers sent away.
+    /// Clients that draining servers asked to reconnect.
     pub sent_away: u64,
     /// Servers that failed from overload.
     pub fallen: u64,
--- a/crates/simulator/src/plot.rs
+++ b/crates/simulator/src/plot.rs
@@ -18,7 +18,7 @@
     NotANumber {
         /// The key.
         key: String,
-        /// Its value.
+        /// The value of the key.
         value: String,
     },
     /// A sweep has no metric of that name.
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -21,8 +21,8 @@
 }
 
 impl FleetState<'_> {
-    /// Returns load over capacity, plus the wait behind the backlog in seconds and a tenth of the fraction of setup slots
-    /// in use. Attempts on their way do not count. Returns `None` if the server accepts nothing.
+    /// Returns load over capacity, plus the wait behind the backlog in seconds and a tenth of the fraction of setup
+    /// slots in use. Attempts on their way do not count. Returns `None` if the server accepts nothing.
     pub fn utilization(&self, server: &ServerId) -> Option<f64> {
         let index = *self.server_indices.get(server)?;
         let server = self
--- a/crates/simulator/src/scenario/faults.rs
+++ b/crates/simulator/src/scenario/faults.rs
@@ -52,7 +52,8 @@
     ZoneLost,
     /// Servers run slower by the factor `size`.
     Slow,
-    /// A rolling deploy replaces `part` of the fleet, `size` of the fleet at a time.
+    /// A rolling deploy replaces the fraction `part` of the servers in batches; `size` is the batch size as a fraction
+    /// of the initial fleet.
     Deploy,
     /// The fleet shrinks to 1 / `size` of its servers, and arrivals decrease likewise.
     Shrink,
--- a/crates/simulator/src/scenario/sections.rs
+++ b/crates/simulator/src/scenario/sections.rs
@@ -45,7 +45,7 @@
 section! {
     /// A kind of machine.
     MachineKind {
-        /// Its name.
+        /// The name of the machine kind.
         name: String = "std-2c".into(),
         /// Share of the fleet, relative to the shares of the other kinds.
         share: f64 = 1.0,
@@ -227,7 +227,7 @@
 section! {
     /// A class of requests.
     Class {
-        /// Its name.
+        /// The name of the class.
         name: String = "live-captions".into(),
         /// Share of new connections, relative to the shares of the other classes.
         share: f64 = 1.0,
--- a/crates/simulator/src/server_model.rs
+++ b/crates/simulator/src/server_model.rs
@@ -96,11 +96,11 @@
 /// server has capacity for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WarmUpLoad {
-    /// All of it.
+    /// The load sent by all nodes.
     pub total: f64,
     /// The load sent by nodes that knew of the start.
     pub from_informed_nodes: f64,
-    /// When it was last drained.
+    /// The time up to which the drained load is subtracted.
     pub updated_at: SimTime,
 }
 
--- a/crates/simulator/src/world/servers.rs
+++ b/crates/simulator/src/world/servers.rs
@@ -454,8 +454,8 @@
         }
     }
 
-    /// Starts to drain a server: it accepts nothing new, sends its clients away one by one if `goaway` is set, and
-    /// then terminates.
+    /// Starts to drain a server: it accepts nothing new, asks its clients one by one to reconnect if `goaway` is set,
+    /// and then terminates.
     pub(super) fn start_drain(&mut self, index: u32, duration: SimTime) {
         if self.fleet[index as usize].state != ServerState::Up {
             return;
--- a/crates/test-servers/src/observation.rs
+++ b/crates/test-servers/src/observation.rs
@@ -23,9 +23,9 @@
 pub enum ConnectionEnd {
     /// The client closed it as planned.
     ByClient,
-    /// It ended after a MOVE.
+    /// The connection ended after a MOVE.
     Migrated,
-    /// It ended without a MOVE.
+    /// The connection ended without a MOVE.
     Unexpected,
 }
 
--- a/crates/test-servers/src/upstream_server/mod.rs
+++ b/crates/test-servers/src/upstream_server/mod.rs
@@ -39,13 +39,13 @@
 /// The operating mode of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerMode {
-    /// It accepts and serves connections.
+    /// The server accepts and serves connections.
     Serving,
-    /// It rejects new connections while its existing ones are closed one by one.
+    /// The server rejects new connections while its existing ones are closed one by one.
     Draining,
-    /// It sends no answer on existing connections or new ones.
+    /// The server sends no answer on existing connections or new ones.
     Unresponsive,
-    /// It is not running.
+    /// The server is not running.
     Stopped,
 }
 
