--- a/crates/node/src/admin/status_table/tests.rs
+++ b/crates/node/src/admin/status_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use rstest::rstest;
 
-/// The fixtures fix the format of the tables, which operators' scripts parse.
+/// The fixtures were printed by revision c925b3d. They fix the format of the tables, which operators' scripts parse.
 #[rstest]
 #[case::status("status", include_str!("fixtures/status.json"), include_str!("fixtures/status.txt"))]
 #[case::members("members", include_str!("fixtures/members.json"), include_str!("fixtures/members.txt"))]
--- a/crates/node/src/handoff/admin_drain_file/tests.rs
+++ b/crates/node/src/handoff/admin_drain_file/tests.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// The fixtures fix the format of the file, which two processes of different builds read and write during a handoff.
+/// The fixtures were written by revision c925b3d. They fix the format of the file, which two processes of different
+/// builds read and write during a handoff.
 #[rstest]
 #[case::no_server(&[], include_str!("../fixtures/no_admin_drains.out"))]
 #[case::two_servers(&["s-1", "s \"2\"\n"], include_str!("../fixtures/admin_drains.out"))]
--- a/crates/node/src/handoff/socket/tests.rs
+++ b/crates/node/src/handoff/socket/tests.rs
@@ -95,7 +95,8 @@
     })
 }
 
-/// The fixtures fix the format of the messages, which two processes of different builds exchange during a handoff.
+/// The fixtures were written by revision c925b3d. They fix the format of the messages, which two processes of
+/// different builds exchange during a handoff.
 #[rstest]
 #[case::heartbeat(heartbeat(), "", include_bytes!("../fixtures/heartbeat.bin"))]
 #[case::admin_drain_changed(HandoffMessage::AdminDrainChanged, "", include_bytes!("../fixtures/admin_drain_changed.bin"))]
