--- a/crates/fault-injection/src/checker/mod.rs
+++ b/crates/fault-injection/src/checker/mod.rs
@@ -49,7 +49,7 @@
     absences: AbsenceLog,
     /// When the link between a node and a server was last faulty.
     link_faults: BTreeMap<NodeServerPair, Instant>,
-    warm_up_budget: BudgetMonitor,
+    slow_start_budget: BudgetMonitor,
     setup_times: Histogram<u64>,
     counts: BTreeMap<&'static str, u64>,
 }
@@ -71,7 +71,7 @@
             draining_since: BTreeMap::new(),
             absences: AbsenceLog::default(),
             link_faults: BTreeMap::new(),
-            warm_up_budget: BudgetMonitor::default(),
+            slow_start_budget: BudgetMonitor::default(),
             setup_times,
             counts: BTreeMap::new(),
         }
@@ -183,7 +183,7 @@
                 connection_count,
             } => self.on_server_crashed(at, server, is_warming_up, connection_count),
             Observation::WarmingUpConnection { dialed_at, .. } => {
-                self.warm_up_budget.record_use(dialed_at);
+                self.slow_start_budget.record_use(dialed_at);
             }
             Observation::EndpointAnnounced {
                 node,
@@ -307,26 +307,26 @@
         totals
     }
 
-    /// Reports the usage of the warm-up budget, which limits connections to servers that are warming up, and checks its
-    /// limit.
+    /// Reports the usage of the slow-start budget, which limits connections to servers that are warming up, and checks
+    /// its limit.
     ///
     /// In `saturated_spans` the demand of clients exceeded the limit.
-    pub fn warm_up_budget(&mut self, limit: u32, saturated_spans: &[TimeSpan]) -> BudgetReport {
-        self.warm_up_budget.sort();
-        if let Some(overrun) = self.warm_up_budget.worst_overrun(limit) {
+    pub fn slow_start_budget(&mut self, limit: u32, saturated_spans: &[TimeSpan]) -> BudgetReport {
+        self.slow_start_budget.sort();
+        if let Some(overrun) = self.slow_start_budget.worst_overrun(limit) {
             let description = format!(
                 "{} connections to cold transcribers in a second, {} are the whole",
                 overrun.sum, overrun.limit
             );
             self.record_violation(Rule::Budget, overrun.at, description);
         }
-        self.warm_up_budget
+        self.slow_start_budget
             .report("cold", self.start, limit, saturated_spans)
     }
 
-    /// Records that an operator changes the limit of the warm-up budget.
+    /// Records that an operator changes the limit of the slow-start budget.
     pub fn on_budget_limit_changed(&mut self, at: Instant, limit: u32) {
-        self.warm_up_budget.record_limit(at, limit);
+        self.slow_start_budget.record_limit(at, limit);
     }
 
     /// Returns all violations so far.
--- a/crates/fault-injection/src/fault_injector/process_faults.rs
+++ b/crates/fault-injection/src/fault_injector/process_faults.rs
@@ -124,7 +124,7 @@
     replace(context, node, false);
 }
 
-/// Sets the limit of the warm-up budget at the first of these nodes that is running.
+/// Sets the limit of the slow-start budget at the first of these nodes that is running.
 pub(super) fn set_budget(context: &mut HarnessContext, fault: &Fault, nodes: &[usize]) {
     let limit = fault.magnitude as u32;
     context
--- a/crates/fault-injection/src/node_call.rs
+++ b/crates/fault-injection/src/node_call.rs
@@ -23,7 +23,7 @@
     Ping,
     /// Asks for the state of the node's cluster.
     Status,
-    /// Changes the limit of the warm-up budget.
+    /// Changes the limit of the slow-start budget.
     SetBudget { limit: u32 },
 }
 
@@ -65,7 +65,7 @@
     call(context, node, Request::Status);
 }
 
-/// Sets the limit of the warm-up budget.
+/// Sets the limit of the slow-start budget.
 pub(crate) fn set_budget(context: &mut HarnessContext, node: usize, limit: u32) {
     call(context, node, Request::SetBudget { limit });
 }
--- a/crates/fault-injection/src/node_config.rs
+++ b/crates/fault-injection/src/node_config.rs
@@ -133,7 +133,7 @@
 }
 
 fn write_budget(text: &mut String, harness: &Harness) -> std::fmt::Result {
-    let Some(budget) = &harness.scenario.warm_up_budget else {
+    let Some(budget) = &harness.scenario.slow_start_budget else {
         return Ok(());
     };
     writeln!(text, "[budgets.cold]")?;
--- a/crates/fault-injection/src/outcome.rs
+++ b/crates/fault-injection/src/outcome.rs
@@ -121,12 +121,12 @@
 }
 
 fn report_budgets(harness: &mut Harness) -> Vec<BudgetReport> {
-    let Some(budget) = &harness.scenario.warm_up_budget else {
+    let Some(budget) = &harness.scenario.slow_start_budget else {
         return Vec::new();
     };
     let report = harness
         .checker
-        .warm_up_budget(budget.limit, &budget.saturated_spans);
+        .slow_start_budget(budget.limit, &budget.saturated_spans);
     vec![report]
 }
 
--- a/crates/fault-injection/src/run_loop.rs
+++ b/crates/fault-injection/src/run_loop.rs
@@ -87,7 +87,7 @@
     if !harness.scenario.is_clustered || !harness.scenario.waits_for_leases {
         return Ok(());
     }
-    let min_leased_ratio = if harness.scenario.warm_up_budget.is_some() {
+    let min_leased_ratio = if harness.scenario.slow_start_budget.is_some() {
         MIN_INITIAL_LEASED_RATIO
     } else {
         0.0
--- a/crates/fault-injection/src/scenario/fault.rs
+++ b/crates/fault-injection/src/scenario/fault.rs
@@ -120,7 +120,7 @@
     /// Discovery sends nodes updates `magnitude` milliseconds late.
     #[serde(rename = "slow")]
     SlowDiscovery,
-    /// An operator changes the limit of the warm-up budget at a node.
+    /// An operator changes the limit of the slow-start budget at a node.
     #[serde(rename = "whole")]
     SetBudget,
 }
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -48,7 +48,7 @@
     pub(crate) server_capacity: ServerCapacity,
     /// The budget of connections to servers that are warming up.
     #[serde(rename = "cold")]
-    pub(crate) warm_up_budget: Option<WarmUpBudget>,
+    pub(crate) slow_start_budget: Option<SlowStartBudget>,
     /// The timeline of faults.
     #[serde(default, rename = "fault")]
     pub(crate) faults: Vec<Spanned<Fault>>,
@@ -129,7 +129,7 @@
 /// applies it but the nodes don't.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct WarmUpBudget {
+pub(crate) struct SlowStartBudget {
     /// Maximum number of new connections to such servers in any second, over all nodes.
     #[serde(rename = "whole")]
     pub(crate) limit: u32,
--- a/crates/fault-injection/src/scenario/validation.rs
+++ b/crates/fault-injection/src/scenario/validation.rs
@@ -129,7 +129,7 @@
     }
 
     fn validate_servers(&self) -> Validation {
-        let budget = self.warm_up_budget.iter();
+        let budget = self.slow_start_budget.iter();
         for span in budget.flat_map(|budget| &budget.saturated_spans) {
             let range = span.from_s + MIN_SPAN_SECONDS..=self.duration_s();
             check_range_without_offset("cold.enough: its end", span.to_s, range)?;
--- a/crates/scale/src/run/measurement.rs
+++ b/crates/scale/src/run/measurement.rs
@@ -324,7 +324,7 @@
             from_s: saturated.from_s + SATURATION_LEAD_SECONDS,
             to_s: saturated.to_s,
         };
-        let report = checker.warm_up_budget(limit, &[span]);
+        let report = checker.slow_start_budget(limit, &[span]);
         let violations = checker.violations().iter();
         let violations =
             violations.map(|violation| format!("{}: {}", violation.rule, violation.description));
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -105,7 +105,7 @@
     pub(crate) overload_window_ns: Option<u64>,
 }
 
-/// The costs of actions, in points of the result.
+/// The costs of actions, in points taken off the deployment's score.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(expecting = "struct Prices")]
 pub(crate) struct CostSettings {
